--- a/relay/cache_test.go
+++ b/relay/cache_test.go
@@ -45,7 +45,7 @@
 	b, err := os.ReadFile("testdata/cache.yaml")
 	require.NoError(t, err)
 	var all []cacheCase
-	require.NoError(t, yaml.Unmarshal(b, &all))
+	require.NoError(t, yaml.UnmarshalWithOptions(b, &all, yaml.Strict()))
 	for _, c := range all {
 		t.Run(c.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { c.play(t) })
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -154,7 +154,7 @@
 	b, err := os.ReadFile("testdata/spread.yaml")
 	require.NoError(t, err)
 	var all []scenario
-	require.NoError(t, yaml.Unmarshal(b, &all))
+	require.NoError(t, yaml.UnmarshalWithOptions(b, &all, yaml.Strict()))
 	for _, s := range slices.DeleteFunc(all, func(s scenario) bool { return !wanted(s) }) {
 		for _, beats := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/beats=%v", s.Name, beats), func(t *testing.T) {
--- a/rwtest/cases/cases.go
+++ b/rwtest/cases/cases.go
@@ -15,7 +15,7 @@
 	b, err := os.ReadFile(file)
 	require.NoError(t, err)
 	var out []T
-	require.NoError(t, yaml.Unmarshal(b, &out))
+	require.NoError(t, yaml.UnmarshalWithOptions(b, &out, yaml.Strict()))
 	require.NotEmpty(t, out, file)
 	return out
 }
