--- a/ingress/await_test.go
+++ b/ingress/await_test.go
@@ -15,25 +15,24 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// lastTargetSender cuts the first run after two events and takes its target
-// away; another one appears a moment later.
+// lastTargetSender breaks the first attempt after two events and removes all targets;
+// another target appears after a while.
 type lastTargetSender struct {
-	h     *Handler
-	after time.Duration // until the other target appears
-	runs  int
+	h            *Handler
+	appearsAfter time.Duration
+	attempts     int
 }
 
-// Send answers one order.
 func (s *lastTargetSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	s.runs++
-	if s.runs > 1 {
+	s.attempts++
+	if s.attempts > 1 {
 		return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 3\ndata: c\n\n")}, nil
 	}
 	now := clock.Now()
 	for _, id := range s.h.targets.IDs() {
-		s.h.targets.Vanish(id, now, now) // what runs there goes on
+		s.h.targets.Vanish(id, now, now) // attempts there continue
 	}
-	time.AfterFunc(s.after, func() {
+	time.AfterFunc(s.appearsAfter, func() {
 		s.h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "new", Service: "llm", Address: "127.0.0.1:99", Zone: "b"}), 0)
 	})
 	events := func(emit func(Event) bool) error {
@@ -45,47 +44,47 @@
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// A stream that has lost the last target waits for another one as long as it
-// is told to, and is cut then; it is not refused, as it has run.
+// An interrupted stream without an available target waits for targetWait and is then cut
+// off, not rejected, since it has run.
 func TestAwaitTarget(t *testing.T) {
 	tests := []struct {
-		name  string
-		await time.Duration
-		after time.Duration
-		whole bool
+		name         string
+		wait         time.Duration
+		appearsAfter time.Duration
+		complete     bool
 	}{
-		{"the next target comes in time", 2 * time.Second, 100 * time.Millisecond, true},
-		{"the next target comes too late", 100 * time.Millisecond, time.Minute, false},
+		{"the next target appears in time", 2 * time.Second, 100 * time.Millisecond, true},
+		{"the next target appears too late", 100 * time.Millisecond, time.Minute, false},
 		{"streams do not wait", 0, time.Minute, false},
 	}
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
-			s := &lastTargetSender{after: tt.after}
+			s := &lastTargetSender{appearsAfter: tt.appearsAfter}
 			s.h = modelHandler(t, s, ragworthitch.CallStream)
-			s.h.await = tt.await
-			begun := clock.Now()
-			w, cut := serve(s.h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: begun})
-			assert.Equal(t, !tt.whole, cut)
+			s.h.targetWait = tt.wait
+			startedAt := clock.Now()
+			w, cut := serve(s.h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: startedAt})
+			assert.Equal(t, !tt.complete, cut)
 			assert.Equal(t, http.StatusOK, w.Code)
-			if !tt.whole {
-				assert.LessOrEqual(t, clock.Now().Sub(begun), tt.await+checkEvery, "held back")
+			if !tt.complete {
+				assert.LessOrEqual(t, clock.Now().Sub(startedAt), tt.wait+silenceCheckInterval, "waited longer than targetWait")
 			}
 		})
 	}
 }
 
-// A route may say how long a target may stay silent: a stream is moved then,
-// though its events come in long pauses elsewhere.
-func TestStallOfARoute(t *testing.T) {
-	r := ragworthitch.NewRoute(ragworthitch.RouteParams{Kind: ragworthitch.CallStream, Resumable: true, MaxTargets: 3, Stall: 300 * time.Millisecond})
-	for quiet, moves := range map[time.Duration]bool{200 * time.Millisecond: false, 310 * time.Millisecond: true} {
-		s := &stream{job: &job{h: modelHandler(t, &modelSender{}, ragworthitch.CallStream), c: &Call{}}}
-		s.g.Route = &r
+// A route's stall timeout decides when a stream fails over, whatever the pauses of the
+// engine's other streams.
+func TestRouteStallTimeout(t *testing.T) {
+	route := ragworthitch.NewRoute(ragworthitch.RouteParams{Kind: ragworthitch.CallStream, Resumable: true, MaxTargets: 3, Stall: 300 * time.Millisecond})
+	for silence, failsOver := range map[time.Duration]bool{200 * time.Millisecond: false, 310 * time.Millisecond: true} {
+		s := &stream{activeCall: &activeCall{h: modelHandler(t, &modelSender{}, ragworthitch.CallStream), call: &Call{}}}
+		s.grant.Route = &route
 		ms := s.h.targets.Service("llm")
-		run := &run{s: s, m: ms[0], gap: usualGap, answered: true, probed: clock.Now()}
-		assert.Equal(t, moves, run.check(t.Context(), quiet), "%v", quiet)
+		a := &attempt{s: s, member: ms[0], intervalObjective: defaultIntervalObjective, headReceived: true, connCheckedAt: clock.Now()}
+		assert.Equal(t, failsOver, a.checkSilence(t.Context(), silence), "%v", silence)
 	}
 }
 
-// Probe finds nobody.
+// Probe fails.
 func (*lastTargetSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
--- a/ingress/bench_test.go
+++ b/ingress/bench_test.go
@@ -9,12 +9,12 @@
 	"github.com/ragworthitch/ragworthitch/clock"
 )
 
-// BenchmarkPickEngine measures the choice of an engine with all that is known
-// of each, at today's number of engines and at that planned for.
+// BenchmarkPickEngine measures the selection of an engine with all factors known, at the
+// present and at the planned number of engines.
 func BenchmarkPickEngine(b *testing.B) {
 	for _, n := range []int{24, 740} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
-			h := modelHandler(b, &noteSender{}, ragworthitch.CallStream)
+			h := modelHandler(b, &recordingSender{}, ragworthitch.CallStream)
 			for i := range n - modelTargets {
 				h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint("more-", i), Service: "llm",
 					Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: string(rune('a' + i%3)), Slots: 8}), 0)
@@ -24,12 +24,12 @@
 				m.Pace().Event(29*time.Millisecond, true, now)
 				m.Pace().Heard(fmt.Sprint("peer-", i%5), 30*time.Millisecond, now)
 			}
-			g, err := h.book.Judge(now, "h", "/p/x", "", 0)
+			g, err := h.desiredState.Judge(now, "h", "/p/x", "", 0)
 			if err != nil {
 				b.Fatal(err)
 			}
 			h.paces.Of("llm").Event(29 * time.Millisecond)
-			j := &job{h: h, c: &Call{Prompt: 5000, Subject: "5c1e"}, g: g}
+			j := &activeCall{h: h, call: &Call{Prompt: 5000, Subject: "5c1e"}, grant: g}
 			for b.Loop() {
 				j.pickEngine(now, nil)
 			}
--- a/ingress/budget_test.go
+++ b/ingress/budget_test.go
@@ -16,17 +16,16 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// pausingSender answers with streams that pause for a while after two events.
-// An order that goes on after an event is answered at once.
+// pausingSender answers with streams that pause after two events. Resumed streams do not
+// pause.
 type pausingSender struct {
-	pause   time.Duration
-	refuses bool // targets take no new connection meanwhile
-	runs    int
+	pause       time.Duration
+	unreachable bool // targets accept no new connection
+	attempts    int
 }
 
-// Send answers one order.
 func (s *pausingSender) Send(ctx context.Context, o *Order) (*Reply, error) {
-	s.runs++
+	s.attempts++
 	pause := s.pause
 	if o.After != "" {
 		pause = 0
@@ -45,71 +44,68 @@
 	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe finds what the sender says.
+// Probe fails if the targets are unreachable.
 func (s *pausingSender) Probe(context.Context, *registry.Member) error {
-	if s.refuses {
+	if s.unreachable {
 		return upstream.ErrNotSent
 	}
 	return nil
 }
 
-// The load: a service fails until no repeat is left in the budget, and then
-// engines pause. A stream with a silent target goes on elsewhere if a repeat
-// is left, and waits for the run that is under way if none is: giving it up
-// would cut a stream that may be no worse than slow.
-func TestSilentRunKeptWithoutRepeats(t *testing.T) {
+// A stream with a silent target fails over only if the retry budget allows it. Otherwise
+// the attempt goes on, since the target may only be slow.
+func TestSilentAttemptKeptWithoutRetries(t *testing.T) {
 	tests := []struct {
-		name    string
-		repeats float64
-		refuses bool
-		runs    int
+		name        string
+		retries     float64
+		unreachable bool
+		attempts    int
 	}{
-		{"a repeat is left", 1000, false, 2},
+		{"a retry is left", 1000, false, 2},
 		{"none is left", 0, false, 1},
 		{"none is left, and the target seems lost", 0, true, 1},
 	}
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
-			s := &pausingSender{pause: 3 * time.Second, refuses: tt.refuses}
+			s := &pausingSender{pause: 3 * time.Second, unreachable: tt.unreachable}
 			h := modelHandler(t, s, ragworthitch.CallStream)
-			h.budget = budget.New(budget.Limit{Extra: tt.repeats, Span: 10 * time.Second}, nil)
+			h.retryBudget = budget.New(budget.Limit{Extra: tt.retries, Span: 10 * time.Second}, nil)
 			w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			assert.False(t, cut)
 			assert.Equal(t, http.StatusOK, w.Code)
 			assert.Contains(t, w.Body.String(), "id: 4\n")
-			assert.Equal(t, tt.runs, s.runs)
+			assert.Equal(t, tt.attempts, s.attempts)
 		})
 	}
 }
 
-// The load: the engines of an instance's zone are lost, and its part of the budget
-// is used up. Its streams go on with repeats that others lend.
-func TestBorrowedRepeat(t *testing.T) {
+// Streams fail over with retries borrowed from peers when the instance's own part of the
+// budget is used up, as in a zone outage.
+func TestBorrowedRetry(t *testing.T) {
 	bubble(t, "", func(t *testing.T) {
-		s := &pausingSender{pause: 3 * time.Second, refuses: true}
+		s := &pausingSender{pause: 3 * time.Second, unreachable: true}
 		h := modelHandler(t, s, ragworthitch.CallStream)
-		h.budget = budget.New(budget.Limit{Span: 10 * time.Second}, nil)
-		asked := 0
-		h.borrow = func(_ context.Context, service string) {
-			asked++
-			h.budget.Borrowed(service, 1, clock.Now())
+		h.retryBudget = budget.New(budget.Limit{Span: 10 * time.Second}, nil)
+		requests := 0
+		h.borrowRetries = func(_ context.Context, service string) {
+			requests++
+			h.retryBudget.Borrowed(service, 1, clock.Now())
 		}
 		w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 		assert.False(t, cut)
 		assert.Contains(t, w.Body.String(), "id: 4\n")
-		assert.Equal(t, 2, s.runs)
-		assert.Equal(t, 1, asked)
+		assert.Equal(t, 2, s.attempts)
+		assert.Equal(t, 1, requests)
 	})
 }
 
-// refusedSender breaks the first run after an event; the next targets refuse the
+// refusedSender breaks the first attempt after an event; the next attempts are refused the
 // connection.
-type refusedSender struct{ orders, refused int }
+type refusedSender struct{ attempts, refusals int }
 
-// Send answers one order.
 func (s *refusedSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	s.orders++
-	if s.orders > 1 && s.orders <= 1+s.refused {
+	s.attempts++
+	if s.attempts > 1 && s.attempts <= 1+s.refusals {
 		return nil, upstream.ErrNotSent
 	}
 	events := func(emit func(Event) bool) error {
@@ -123,19 +119,17 @@
 	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe finds everybody.
+// Probe succeeds.
 func (*refusedSender) Probe(context.Context, *registry.Member) error { return nil }
 
-// The load: a zone is lost at once, and streams that move find engines there, or
-// where they have their copies, that take no connection. What has not arrived at a
-// target is no repeat: one repeat in the budget is enough, however many refuse. On
-// a day with 1,500 lost runs, 500 orders were not taken.
-func TestRefusedOrderIsNoRepeat(t *testing.T) {
-	s := &refusedSender{refused: 3}
+// Attempts whose connection is refused spend no retry, however many targets refuse, as in
+// a zone outage.
+func TestRefusedConnectionIsNoRetry(t *testing.T) {
+	s := &refusedSender{refusals: 3}
 	h := modelHandler(t, s, ragworthitch.CallStream)
-	h.budget = budget.New(budget.Limit{Extra: 1, Span: 10 * time.Second}, nil)
+	h.retryBudget = budget.New(budget.Limit{Extra: 1, Span: 10 * time.Second}, nil)
 	w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 	assert.False(t, cut)
 	assert.Contains(t, w.Body.String(), "id: 2\n")
-	assert.False(t, h.budget.Spend("llm", clock.Now()), "the repeat is used")
+	assert.False(t, h.retryBudget.Spend("llm", clock.Now()), "the retry is used")
 }
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -1,9 +1,11 @@
-// Package ingress is the life of one call at an entry instance: it is judged
-// against the desired state, sent to a target, sent again where its kind
-// allows that, and answered whole or refused truthfully. Streams go on at
-// another target when theirs fails. It knows no wire format: a Sender puts
-// orders on the wire, and the caller's side hands in decoded calls. The
-// platform's entries and the product's own caller API share it.
+// Package ingress handles one call at an entry instance: it checks the call against the
+// desired state, sends it to a target, retries it where its kind allows that, and returns
+// either the whole answer or an error that says truthfully whether the call may have run.
+// A stream fails over to another target when its own fails.
+//
+// The package knows no wire format: a Sender encodes attempts, and the caller's side
+// passes in decoded calls. The platform's entry instances and the product's own caller API
+// share it.
 package ingress
 
 import (
@@ -18,100 +20,96 @@
 )
 
 type (
-	// Call is one call as a caller sent it, body read whole.
+	// Call is one call of a caller, with its body read.
 	Call struct {
-		ID       string // unique for each call
+		ID       string // unique
 		Method   string
 		Host     string // without port
-		URI      string // path and query, unchanged
-		Path     string // the path of URI
+		URI      string // path and query, as received
+		Path     string // path part of URI
 		Key      string
-		Patience time.Duration // how long the caller waits; 0: not said
-		Header   http.Header   // to be passed on
+		Patience time.Duration // how long the caller waits; 0: unknown
+		Header   http.Header   // passed on to the target
 		Body     []byte
-		After    string // id of the last event the caller has of this stream
-		Prompt   int    // prompt tokens
-		Output   int    // most tokens to be generated
-		Subject  string // last part of the prompt: the call's or session's own
+		After    string // resume offset: id of the last event that the caller has
+		Prompt   int    // tokens in the prompt
+		Output   int    // maximum number of tokens to generate
+		Subject  string // last part of the prompt, which differs between calls or sessions
 		Received clock.Time
 	}
 
-	// Order is one sending of a call to a target.
+	// Order is one attempt: a call as it is sent to one target.
 	Order struct {
 		Call     *Call
 		Target   ragworthitch.Target
 		Member   *registry.Member
 		Org      string
-		Left     time.Duration // how long an answer is still of use
-		After    string        // go on after this event
-		CopyAt   string        // address of the engine to go on from: it holds a copy of the run's memory
-		BackupAt string        // address of the engine to copy the run's memory to as it grows
-		Rank     Rank          // which orders a busy engine runs first
+		Left     time.Duration // remaining time until the call's deadline
+		After    string        // resume offset
+		CopyAt   string        // address of the replica target to resume from; empty: none
+		BackupAt string        // address of the engine that shall hold a replica of this attempt's KV cache; empty: none
+		Rank     Rank          // priority at a busy engine
 	}
 
-	// Rank orders the work of a busy engine.
+	// Rank is the priority of an attempt at a busy engine.
 	Rank uint8
 
-	// Reply is the head of a target's answer.
+	// Reply is the head of a target's answer, with access to its body.
 	Reply struct {
 		Status int
-		// NotRun: the target says that it did not run the call and never
-		// will.
+		// NotRun means that the target did not run the call and never will.
 		NotRun bool
-		// Elsewhere: the address answered for another target.
+		// Elsewhere means that another target answered at the address.
 		Elsewhere bool
-		Header    http.Header // to be passed on
+		Header    http.Header // passed on to the caller
 		Body      io.ReadCloser
-		Sized     bool // the body's end is marked, so that a cut shows
-		// Events hands a stream's events to emit until that returns false.
-		// It returns nil when the target ended the stream. If it is nil, the
-		// body is a text/event-stream.
+		Sized     bool // the end of the body is marked, so that a truncated body is detected
+		// Events passes the events of the stream to emit until emit returns false. It
+		// returns nil if the target ended the stream. If Events is nil, the body is a
+		// text/event-stream.
 		Events func(emit func(Event) bool) error
 	}
 
-	// Sender speaks to targets. Errors wrap upstream.ErrNotSent or
+	// Sender sends attempts to targets. Its errors wrap upstream.ErrNotSent or
 	// upstream.ErrSent.
 	Sender interface {
-		// Send puts an order on the wire and returns the head of the answer
-		// to it.
+		// Send sends an attempt and returns the head of the answer.
 		Send(ctx context.Context, o *Order) (*Reply, error)
-		// Probe asks a target for a connection; an error means that it takes
-		// none.
+		// Probe checks that a target accepts connections.
 		Probe(ctx context.Context, m *registry.Member) error
 	}
 )
 
-// Ranks, most urgent first.
+// Ranks, highest priority first.
 const (
-	// RankFirst is for streams that go on after a loss with little to be
-	// read: the caller has part of the answer and waits in the middle of it.
+	// RankFirst is for streams that resume with little to prefill: the caller already has
+	// a part of the answer.
 	RankFirst Rank = iota
 	// RankUsual is for new calls.
 	RankUsual
-	// RankLast is for streams that are late already, or will be: those that
-	// the caller itself brought back, and whose prompt has to be read again,
-	// and new ones that no engine can begin in time. Others beside them can
-	// still be in time.
+	// RankLast is for streams whose next event is late anyway: those that the caller
+	// resumes and whose prompt has to be prefilled again, and new ones that no engine can
+	// start in time. Calls with a higher rank can still be in time.
 	RankLast
 )
 
-// emptyBody is the body of a reply whose events come another way.
+// emptyBody is the body of a reply that delivers its events through Reply.Events.
 type emptyBody struct {
 	io.Reader
 	close func()
 }
 
-// EmptyBody returns a body without bytes. close is called when the reply is
-// done with, whether its events were read or not.
+// EmptyBody returns a body without bytes. close is called when the reply is closed,
+// whether its events were read or not.
 func EmptyBody(close func()) io.ReadCloser { return emptyBody{http.NoBody, close} }
 
-// Close ends the reply.
+// Close closes the reply.
 func (b emptyBody) Close() error {
 	b.close()
 	return nil
 }
 
-// events hands the events of a stream to emit.
+// events passes the events of the stream to emit.
 func (r *Reply) events(emit func(Event) bool) error {
 	if r.Events != nil {
 		return r.Events(emit)
@@ -119,9 +117,8 @@
 	return readEvents(r.Body, emit)
 }
 
-// failure reports whether a reply says that the target could not serve the
-// call.
-func (r *Reply) failure() bool { return r.Status >= http.StatusInternalServerError }
+// isFailure reports whether the target failed to serve the call.
+func (r *Reply) isFailure() bool { return r.Status >= http.StatusInternalServerError }
 
-// refused reports whether a reply promises that the call was not run.
-func (r *Reply) refused() bool { return r.NotRun || r.Elsewhere }
+// notRun reports whether the call certainly did not run at the target.
+func (r *Reply) notRun() bool { return r.NotRun || r.Elsewhere }
--- a/ingress/copy.go
+++ b/ingress/copy.go
@@ -8,82 +8,78 @@
 	"github.com/ragworthitch/ragworthitch/registry"
 )
 
-// copyRoom is the part of an engine's memory up to which it takes copies. Copies
-// double what streams hold, and yield first: when memory runs out, running
-// streams are stopped and read in again. With half of the engines slow and
-// callers doubled, 0.68 of the streams were on time with copies everywhere and
-// 0.86 with none.
-const copyRoom = 0.8
+// maxReplicaMemoryShare is the share of an engine's KV cache up to which it gets replicas.
+// Above it replicas would make the engine preempt running streams, which then have to be
+// prefilled again.
+const maxReplicaMemoryShare = 0.8
 
-// lossSpan is how long no copy is laid in a zone in which the stream has lost a
-// run: its engines fail together, are back after a second or more, and the next
-// zone may fail within 3 s. A copy laid there at once is not taken, though its
-// engine takes connections again when it is needed: 113 of 640 streams found none.
-const lossSpan = 4 * time.Second
+// zoneLossRetention is how long a stream places no replica in a zone where it lost an
+// attempt. Targets there may accept connections while they restart, but would not hold the
+// replica.
+const zoneLossRetention = 4 * time.Second
 
-// loss is that a stream has lost a run.
-type loss struct {
+// zoneLoss records that a stream lost an attempt in a zone.
+type zoneLoss struct {
 	zone string
 	at   clock.Time
 }
 
-// copyPlace is where a run's memory is copied to. The zero value is nowhere.
-type copyPlace struct {
-	addr  string
-	since time.Time // by the time of day, as targets tell their start
+// replicaPlacement is where an attempt's KV cache is replicated. The zero value is no
+// replica.
+type replicaPlacement struct {
+	addr        string
+	requestedAt time.Time // wall clock, as in the start times that targets report
 }
 
-// copyHolder is the engine that holds the copy of the run's memory, or nil. The
-// copy lies with whatever engine was at its address from then on: it may have
-// been there before its entry was (0.93 of the streams were on time, not 0.99,
-// where such copies were given up while zones failed one after the other). An
-// engine that started later holds nothing. If it does not tell its start, or
-// the clocks differ, one order too many is sent and not run. A target of
-// another service may have the address by now, and would run the order.
-func (s *stream) copyHolder() *registry.Member {
-	if !s.copied || s.copy.addr == "" {
+// replicaTarget returns the engine that holds the replica, or nil. The replica is held by
+// the engine that was at the address when the attempt was sent, even if its entry became
+// known later. An engine that started later does not hold it; if the engine reports no
+// start time or the clocks differ, the attempt is rejected there. A target of another
+// service that has taken over the address would run the call, so it is excluded.
+func (s *stream) replicaTarget() *registry.Member {
+	if !s.replicaStarted || s.copy.addr == "" {
 		return nil
 	}
 	m := s.h.targets.At(s.copy.addr)
-	if m == nil || !slices.Contains(m.Target().Services(), s.service()) || m.Target().Boot().Started() > s.copy.since.UnixMilli() {
+	if m == nil || !slices.Contains(m.Target().Services(), s.service()) || m.Target().Boot().Started() > s.copy.requestedAt.UnixMilli() {
 		return nil
 	}
 	return m
 }
 
-// placeCopy chooses where the run's memory is copied to: an engine in
-// another zone, since engines of one zone fail together, and in one in which the
-// stream has lost no run of late, if there is any.
-func (s *stream) placeCopy(m *registry.Member, o *Order) {
-	s.dropCopy()
-	s.copy, s.copied, s.dropCopy = copyPlace{}, false, func() {}
-	if e := s.g.Service.Engine(); e == nil || !e.Backups || !s.g.Route.Resumable() {
+// placeReplica selects the replica target: an engine in another zone, since engines of one
+// zone often fail together, and if possible in a zone where the stream has lost no attempt
+// recently.
+func (s *stream) placeReplica(m *registry.Member, o *Order) {
+	s.releaseReplica()
+	s.copy, s.replicaStarted, s.releaseReplica = replicaPlacement{}, false, func() {}
+	if e := s.grant.Service.Engine(); e == nil || !e.Backups || !s.grant.Route.Resumable() {
 		return
 	}
-	now, own := clock.Now(), m.Target().Zone()
-	bar := append(s.tried.list(), m)
-	c := s.pickEngine(now, append(s.lostZones(now), own), bar...)
-	if c == nil {
-		c = s.pickEngine(now, []string{own}, bar...)
+	now, ownZone := clock.Now(), m.Target().Zone()
+	excluded := append(s.tried.list(), m)
+	target := s.pickEngine(now, append(s.recentlyLostZones(now), ownZone), excluded...)
+	if target == nil {
+		target = s.pickEngine(now, []string{ownZone}, excluded...)
 	}
-	if c == nil {
+	if target == nil {
 		return
 	}
-	if memory(c.Work().All().Tokens+s.size(), s.g.Service.Engine()) > copyRoom {
+	if memoryShare(target.Work().All().Tokens+s.kvTokens(), s.grant.Service.Engine()) > maxReplicaMemoryShare {
 		return
 	}
-	s.copy = copyPlace{addr: c.Target().Address(), since: time.Now()}
-	s.dropCopy = c.Work().KeepCopy(s.size())
+	s.copy = replicaPlacement{addr: target.Target().Address(), requestedAt: time.Now()}
+	s.releaseReplica = target.Work().KeepCopy(s.kvTokens())
 	o.BackupAt = s.copy.addr
 }
 
-// lostZones are the zones in which the stream has lost a run of late.
-func (s *stream) lostZones(now clock.Time) []string {
-	var out []string
-	for _, l := range s.losses {
-		if now.Sub(l.at) < lossSpan {
-			out = append(out, l.zone)
+// recentlyLostZones returns the zones where the stream has lost an attempt recently.
+func (s *stream) recentlyLostZones(now clock.Time) []string {
+	var zones []string
+	for _, loss := range s.zoneLosses {
+		if now.Sub(loss.at) < zoneLossRetention {
+			zones = append(zones, loss.zone)
 		}
 	}
-	return out
+	return zones
 }
--- a/ingress/copy_test.go
+++ b/ingress/copy_test.go
@@ -15,19 +15,18 @@
 	"github.com/ragworthitch/ragworthitch/registry"
 )
 
-// copySender breaks the first run after an event, once the address of its copy
-// has been taken by another target; it notes the second order.
-type copySender struct {
-	h       *Handler
-	service string // of the target that takes the address
-	started int64
-	second  *Order
+// replicaSender breaks the first attempt after an event, once another target has taken
+// over the address of the replica target. It keeps the second order.
+type replicaSender struct {
+	h           *Handler
+	service     string // of the target that takes over the address
+	started     int64
+	secondOrder *Order
 }
 
-// Send answers one order.
-func (s *copySender) Send(_ context.Context, o *Order) (*Reply, error) {
+func (s *replicaSender) Send(_ context.Context, o *Order) (*Reply, error) {
 	if o.After != "" {
-		s.second = o
+		s.secondOrder = o
 		return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 2\ndata: b\n\n")}, nil
 	}
 	events := func(emit func(Event) bool) error {
@@ -38,27 +37,27 @@
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe finds everybody: targets that were found lost would have the stream moved
-// once more, or begun anew at the new target, while the test looks at it.
-func (*copySender) Probe(context.Context, *registry.Member) error { return nil }
+// Probe succeeds, so that no target is ejected and the stream does not fail over once
+// more.
+func (*replicaSender) Probe(context.Context, *registry.Member) error { return nil }
 
-// A stream goes on from its copy only at a target of its service that was at
-// the copy's address when the copy was begun.
-func TestCopyHolder(t *testing.T) {
+// A stream resumes from a replica only at a target of its service that was at the
+// replica's address when the attempt was sent.
+func TestReplicaTarget(t *testing.T) {
 	tests := []struct {
 		name    string
 		service string
-		started time.Duration // of the target that takes the address, from now
+		started time.Duration // start time of the target that takes over the address, relative to now
 		used    bool
 	}{
-		{"its entry came late", "llm", -time.Second, true},
-		{"it does not tell its start", "llm", 0, true},
-		{"it started after the copy was begun", "llm", time.Second, false},
+		{"its entry was added late", "llm", -time.Second, true},
+		{"it reports no start time", "llm", 0, true},
+		{"it started after the replica", "llm", time.Second, false},
 		{"it belongs to another service", "desk", -time.Second, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &copySender{service: tt.service}
+			s := &replicaSender{service: tt.service}
 			if tt.started != 0 {
 				s.started = time.Now().Add(tt.started).UnixMilli()
 			}
@@ -66,20 +65,18 @@
 			w, cut := serve(s.h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			require.False(t, cut)
 			assert.Equal(t, http.StatusOK, w.Code)
-			assert.Equal(t, tt.used, s.second.Target.ID() == "new")
-			assert.Equal(t, tt.used, s.second.CopyAt != "")
-			assert.Equal(t, "llm", s.second.Target.Service())
+			assert.Equal(t, tt.used, s.secondOrder.Target.ID() == "new")
+			assert.Equal(t, tt.used, s.secondOrder.CopyAt != "")
+			assert.Equal(t, "llm", s.secondOrder.Target.Service())
 		})
 	}
 }
 
-// zoneSender breaks the first run, and notes where the next ones, and their
-// copies, are.
+// zoneSender breaks the first two attempts and records all orders.
 type zoneSender struct {
 	orders []*Order
 }
 
-// Send answers one order.
 func (s *zoneSender) Send(_ context.Context, o *Order) (*Reply, error) {
 	s.orders = append(s.orders, o)
 	n := int64(len(s.orders))
@@ -93,15 +90,12 @@
 	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe finds everybody, as a zone that has just lost power does for a moment.
+// Probe succeeds, as it may for a moment in a zone that has just lost power.
 func (*zoneSender) Probe(context.Context, *registry.Member) error { return nil }
 
-// The load: a zone's engines crash, and 3 s later some of the zone's to which
-// their streams have moved. The copy of a stream that has moved is not laid in the
-// zone that it has just lost, whose engines take connections again when it is
-// needed, but hold nothing. Of 640 streams that went on from a copy on such a day,
-// 113 found none.
-func TestNoCopyInALostZone(t *testing.T) {
+// A stream places no replica in a zone where it has just lost an attempt: the engines
+// there accept connections again soon but would not hold the replica.
+func TestNoReplicaInFailedZone(t *testing.T) {
 	for range 20 {
 		s := &zoneSender{}
 		h := modelHandler(t, s, ragworthitch.CallStream)
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -17,133 +17,134 @@
 )
 
 const (
-	// confirmTime is how long after a run ended early its target may be found to be
-	// lost, for that to be a crash: a connection that it refuses tells within ms, one
-	// that nothing answers after upstream.DialTimeout.
-	confirmTime = 400 * time.Millisecond
-	// condemnedText is the body of the answer to a request that is not run.
-	condemnedText = "This request has crashed the targets that ran it, and is not run again for now (%s).\n"
+	// crashConfirmTimeout is the time after the early end of an attempt within which its
+	// target has to be found lost for the end to count as a crash. It covers
+	// upstream.DialTimeout.
+	crashConfirmTimeout = 400 * time.Millisecond
+	// quarantinedBody is the body of the answer to a quarantined request.
+	quarantinedBody = "This request has crashed the targets that ran it, and is not run again for now (%s).\n"
 )
 
-// errCondemned ends runs whose request has been condemned before they had begun.
-var errCondemned = errors.New("ingress: request condemned")
+// errQuarantined ends attempts that have not begun when their request is quarantined.
+var errQuarantined = errors.New("ingress: request quarantined")
 
-// admitted reports whether the call may be run, as far as is known of targets that
-// crashed under it. If not, it is answered.
-func (j *job) admitted(ctx context.Context) bool {
-	v := j.h.crashes.Judge(j.print, clock.Now())
-	if !v.Condemned {
+// passesQuarantine reports whether the call may run. If its request is quarantined and the
+// call is not its probe, the call is answered.
+func (c *activeCall) passesQuarantine(ctx context.Context) bool {
+	verdict := c.h.poisonTracker.Judge(c.print, clock.Now())
+	if !verdict.Condemned {
 		return true
 	}
-	if j.h.Leaving() || !j.tries(ctx, v) {
-		j.condemn(v)
+	if c.h.Leaving() || !c.takeProbe(ctx, verdict) {
+		c.answerQuarantined(verdict)
 		return false
 	}
-	j.h.log.Info().Str("request", j.c.ID).Stringer("fingerprint", j.print).Int("trial", v.Trial.Count).Int("deaths", v.Deaths).
-		Msg("ingress: condemned request tried once")
+	c.h.log.Info().Str("request", c.call.ID).Stringer("fingerprint", c.print).Int("trial", verdict.Trial.Count).Int("deaths", verdict.Deaths).
+		Msg("ingress: quarantined request sent as a probe")
 	return true
 }
 
-// tries takes a trial of a condemned request, if one is due: after a while, or where
-// the service has targets of a version under which none has crashed.
-func (j *job) tries(ctx context.Context, v poison.Verdict) bool {
-	fresh := func(m *registry.Member) bool { return !v.Ran(m.Target().Version()) }
+// takeProbe claims the probe of a quarantined request if one is due: after a while, or at
+// once if the service has targets of a version that the request has not crashed.
+func (c *activeCall) takeProbe(ctx context.Context, v poison.Verdict) bool {
+	safeVersion := func(m *registry.Member) bool { return !v.Ran(m.Target().Version()) }
 	if v.Wait > 0 {
-		if !j.anyTakes(fresh) {
+		if !c.anyAvailable(safeVersion) {
 			return false
 		}
-		j.only = fresh
+		c.targetFilter = safeVersion
 	}
-	j.trial = j.h.claim(ctx, v.Trial)
-	return j.trial
+	c.isProbe = c.h.claimProbe(ctx, v.Trial)
+	return c.isProbe
 }
 
-// anyTakes reports whether a target of some takes work.
-func (j *job) anyTakes(of func(*registry.Member) bool) bool {
+// anyAvailable reports whether a matching target takes work.
+func (c *activeCall) anyAvailable(match func(*registry.Member) bool) bool {
 	now := clock.Now()
-	for _, m := range j.h.targets.Service(j.service()) {
-		if m.Takes(now) && of(m) {
+	for _, m := range c.h.targets.Service(c.service()) {
+		if m.Takes(now) && match(m) {
 			return true
 		}
 	}
 	return false
 }
 
-// takes reports whether a target may get the call now.
-func (j *job) takes(m *registry.Member, now clock.Time) bool {
-	return m.Takes(now) && (j.only == nil || j.only(m))
+// mayReceive reports whether a target may get the call now.
+func (c *activeCall) mayReceive(m *registry.Member, now clock.Time) bool {
+	return m.Takes(now) && (c.targetFilter == nil || c.targetFilter(m))
 }
 
-// condemned reports whether the call's request has been condemned meanwhile.
-func (j *job) condemned() (poison.Verdict, bool) {
-	v := j.h.crashes.Judge(j.print, clock.Now())
-	return v, v.Condemned && !j.trial
+// quarantined reports whether the call's request was quarantined after the call was
+// accepted.
+func (c *activeCall) quarantined() (poison.Verdict, bool) {
+	v := c.h.poisonTracker.Judge(c.print, clock.Now())
+	return v, v.Condemned && !c.isProbe
 }
 
-// condemn answers a call whose request is not run again. It has run before, at the
-// targets that it crashed: nothing is promised, and its caller is told when another
-// try could end otherwise.
-func (j *job) condemn(v poison.Verdict) {
-	j.h.stats.condemned.Inc(1)
-	j.h.log.Warn().Str("request", j.c.ID).Stringer("fingerprint", j.print).Str("route", j.g.Route.Name()).Str("org", j.g.Org).
-		Str("service", j.service()).Int("sends", j.sends).Int("deaths", v.Deaths).Dur("wait", v.Wait).Dur("after", clock.Now().Sub(j.c.Received)).
-		Int("status", http.StatusInternalServerError).Msg("ingress: condemned request not run")
-	text := fmt.Sprintf(condemnedText, j.print)
-	h := j.w.Header()
+// answerQuarantined answers a quarantined request. The answer is a failure since the
+// request ran at the targets that it crashed; Retry-After tells when a probe is due.
+func (c *activeCall) answerQuarantined(v poison.Verdict) {
+	c.h.stats.quarantined.Inc(1)
+	c.h.log.Warn().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("route", c.grant.Route.Name()).Str("org", c.grant.Org).
+		Str("service", c.service()).Int("sends", c.attempts).Int("deaths", v.Deaths).Dur("wait", v.Wait).Dur("after", clock.Now().Sub(c.call.Received)).
+		Int("status", http.StatusInternalServerError).Msg("ingress: quarantined request not run")
+	text := fmt.Sprintf(quarantinedBody, c.print)
+	h := c.w.Header()
 	h.Set("Retry-After", strconv.Itoa(int(max(v.Wait, time.Second)/time.Second)))
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	j.w.WriteHeader(http.StatusInternalServerError)
-	if _, err := j.w.Write([]byte(text)); err != nil {
-		j.h.log.Info().Str("request", j.c.ID).Err(err).Msg("ingress: caller left before its answer")
+	c.w.WriteHeader(http.StatusInternalServerError)
+	if _, err := c.w.Write([]byte(text)); err != nil {
+		c.h.log.Info().Str("request", c.call.ID).Err(err).Msg("ingress: caller disconnected before the answer was written")
 	}
 }
 
-// ranWell notes that a target has run the call for long enough, or to an end.
-func (j *job) ranWell() {
-	if !j.well {
-		j.well = true
-		j.h.crashes.RanWell(j.print, clock.Now())
+// recordSuccess records that the request ran to its end, or for so long that it is no
+// poison request.
+func (c *activeCall) recordSuccess() {
+	if !c.successRecorded {
+		c.successRecorded = true
+		c.h.poisonTracker.RanWell(c.print, clock.Now())
 	}
 }
 
-// inquire asks a target that has lost a call of a plain service for a connection, and
-// finds out whether the call may have crashed it.
-func (j *job) inquire(m *registry.Member, begun clock.Time) {
-	go j.probe(m, health.CauseRefused)
-	j.h.guarded(j.c.ID, func() { j.blame(m, begun, 0) })
+// investigatePlainLoss checks the connection of a target that lost a plain call and
+// whether the call may have crashed the target.
+func (c *activeCall) investigatePlainLoss(m *registry.Member, startedAt clock.Time) {
+	go c.ejectIfUnreachable(m, health.CauseRefused)
+	c.h.catchPanic(c.call.ID, func() { c.investigateCrash(m, startedAt, 0) })
 }
 
-// blame finds out whether m crashed under a run of the call, which had begun at a
-// moment and ended early, and whether that speaks against the request.
-func (j *job) blame(m *registry.Member, begun clock.Time, made int) {
-	s := poison.Sighting{Events: made, Leaving: j.leaves(m)}
-	if !s.Counts() || !crashed(m, begun) {
+// investigateCrash records a crash of the request if m was lost soon after the early end
+// of an attempt that started at startedAt.
+func (c *activeCall) investigateCrash(m *registry.Member, startedAt clock.Time, events int) {
+	sighting := poison.Sighting{Events: events, Leaving: c.shutdownExpected(m)}
+	if !sighting.Counts() || !lostAfter(m, startedAt) {
 		return
 	}
 	t := m.Target()
-	s.Zone = j.askRound(m, func(o ragworthitch.Target) bool { return o.Zone() == t.Zone() })
-	s.Service = j.askRound(m, func(o ragworthitch.Target) bool { return o.Service() == t.Service() })
-	j.h.log.Info().Str("request", j.c.ID).Stringer("fingerprint", j.print).Str("target", t.ID()).Int("zoneAsked", s.Zone.Asked).Int("zoneLost", s.Zone.Lost).
-		Int("serviceAsked", s.Service.Asked).Int("serviceLost", s.Service.Lost).Int("events", made).Bool("together", s.Together()).
-		Msg("poison: target crashed under a young run")
-	d := poison.Death{Print: j.print, Boot: t.Boot(), Call: j.c.ID, Org: j.g.Org, Service: j.service(), Version: t.Version(), Together: s.Together()}
-	if j.h.crashes.Died(d, poison.SourceOwn, clock.Now()) {
-		j.h.tell()
+	sighting.Zone = c.checkNeighbours(m, func(o ragworthitch.Target) bool { return o.Zone() == t.Zone() })
+	sighting.Service = c.checkNeighbours(m, func(o ragworthitch.Target) bool { return o.Service() == t.Service() })
+	c.h.log.Info().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("target", t.ID()).Int("zoneAsked", sighting.Zone.Asked).Int("zoneLost", sighting.Zone.Lost).
+		Int("serviceAsked", sighting.Service.Asked).Int("serviceLost", sighting.Service.Lost).Int("events", events).Bool("together", sighting.Together()).
+		Msg("poison: target crashed soon after an attempt started")
+	d := poison.Death{Print: c.print, Boot: t.Boot(), Call: c.call.ID, Org: c.grant.Org, Service: c.service(), Version: t.Version(), Together: sighting.Together()}
+	if c.h.poisonTracker.Died(d, poison.SourceOwn, clock.Now()) {
+		c.h.notifyPeers()
 	}
 }
 
-// leaves reports whether m had said that it would end, or was taken away.
-func (j *job) leaves(m *registry.Member) bool {
+// shutdownExpected reports whether m was draining or has been removed.
+func (c *activeCall) shutdownExpected(m *registry.Member) bool {
 	t := m.Target()
-	return t.Draining() || m.Life().Err() == nil && j.h.targets.Boot(t.Boot()) != m
+	return t.Draining() || m.Life().Err() == nil && c.h.targets.Boot(t.Boot()) != m
 }
 
-// crashed waits for a target to be found lost, after a run there that had begun at a
-// moment.
-func crashed(m *registry.Member, begun clock.Time) bool {
+// lostAfter waits up to crashConfirmTimeout for the target to be found lost and reports
+// whether it was lost after startedAt.
+func lostAfter(m *registry.Member, startedAt clock.Time) bool {
 	lost := m.Health().Lost()
-	if at, ok := m.Health().FailedLately(clock.Now()); ok && at > begun || m.Life().Err() != nil {
+	if at, ok := m.Health().FailedLately(clock.Now()); ok && at > startedAt || m.Life().Err() != nil {
 		return true
 	}
 	select {
@@ -151,21 +152,21 @@
 		return true
 	case <-m.Life().Done():
 		return true
-	case <-time.After(confirmTime):
+	case <-time.After(crashConfirmTimeout):
 		return false
 	}
 }
 
-// askRound asks some targets other than one that was lost for a connection each, to
-// find out whether they were lost together. Those that were lost before say nothing,
-// nor do those that crashed under a request themselves, or were sent this one.
-func (j *job) askRound(lost *registry.Member, of func(ragworthitch.Target) bool) poison.Round {
+// checkNeighbours checks the connections of some other targets that match, to find out
+// whether they were lost together with the lost one. Targets that were lost earlier, that
+// crashed under a request, or that were sent this call prove nothing.
+func (c *activeCall) checkNeighbours(lost *registry.Member, match func(ragworthitch.Target) bool) poison.Round {
 	now := clock.Now()
 	var others []*registry.Member
-	for _, m := range j.h.targets.All() {
+	for _, m := range c.h.targets.All() {
 		t := m.Target()
-		counts := m != lost && of(t) && !t.Draining() && !j.tried.has(m)
-		if counts && !failedBefore(m, now) && !j.h.crashes.Blames(t.Boot()) {
+		isNeighbour := m != lost && match(t) && !t.Draining() && !c.tried.has(m)
+		if isNeighbour && !failedEarlier(m, now) && !c.h.poisonTracker.Blames(t.Boot()) {
 			others = append(others, m)
 		}
 	}
@@ -173,32 +174,33 @@
 	others = others[:min(len(others), poison.Neighbours)]
 	answers := make(chan bool, len(others))
 	for _, m := range others {
-		go func() { answers <- j.serves(m, now) }()
+		go func() { answers <- c.isReachable(m, now) }()
 	}
-	r := poison.Round{Asked: len(others)}
+	round := poison.Round{Asked: len(others)}
 	for range others {
 		if !<-answers {
-			r.Lost++
+			round.Lost++
 		}
 	}
-	return r
+	return round
 }
 
-// failedBefore reports whether a target was lost before those that are lost now.
-func failedBefore(m *registry.Member, now clock.Time) bool {
+// failedEarlier reports whether a target failed too long ago to have been lost together
+// with others now.
+func failedEarlier(m *registry.Member, now clock.Time) bool {
 	at, ok := m.Health().FailedLately(now)
 	return ok && now.Sub(at) >= poison.TogetherTime
 }
 
-// serves reports whether a target takes a connection, or, if it was found lost just
-// now, that it does not.
-func (j *job) serves(m *registry.Member, now clock.Time) bool {
+// isReachable reports whether a target accepts a connection and has not failed recently.
+// It ejects a target that accepts none.
+func (c *activeCall) isReachable(m *registry.Member, now clock.Time) bool {
 	if _, ok := m.Health().FailedLately(now); ok {
 		return false
 	}
-	err := j.h.send.Probe(context.Background(), m)
+	err := c.h.sender.Probe(context.Background(), m)
 	if err != nil {
-		j.failed(m, health.CauseRefused, err)
+		c.eject(m, health.CauseRefused, err)
 	}
 	return err == nil
 }
--- a/ingress/dialling_test.go
+++ b/ingress/dialling_test.go
@@ -15,25 +15,25 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// diallingSender gets no connection: each order waits for one until it is
-// given up. Targets are given up by others' evidence after a while.
+// diallingSender opens no connection: attempts wait until they are cancelled. Targets are
+// ejected or end their boot after targetLostAfter.
 type diallingSender struct {
-	lostAfter time.Duration // 0: never
-	connects  int           // orders from this one on get their connection; 0: none
-	ended     bool          // the target's boot ends, in place of failing
-	h         *Handler
-	orders    int
+	targetLostAfter time.Duration // 0: never
+	connectsFrom    int           // number of the first attempt that connects; 0: none
+	bootEnds        bool          // the target's boot ends instead of an ejection
+	h               *Handler
+	orders          int
 }
 
-// Send waits for a connection.
+// Send waits until ctx ends.
 func (s *diallingSender) Send(ctx context.Context, o *Order) (*Reply, error) {
 	s.orders++
-	if s.connects > 0 && s.orders >= s.connects {
+	if s.connectsFrom > 0 && s.orders >= s.connectsFrom {
 		return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
 	}
-	if s.lostAfter > 0 {
-		time.AfterFunc(s.lostAfter, func() {
-			if s.ended {
+	if s.targetLostAfter > 0 {
+		time.AfterFunc(s.targetLostAfter, func() {
+			if s.bootEnds {
 				s.h.targets.Refused(o.Target.Boot(), clock.Now())
 				return
 			}
@@ -44,26 +44,24 @@
 	return nil, fmt.Errorf("%w: %w", upstream.ErrNotSent, ctx.Err())
 }
 
-// Probe finds nobody.
+// Probe fails.
 func (*diallingSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
 
-// A call that was still waiting for a connection when its target was given up,
-// or when its time was over, has not run: it goes to another target, or is
-// refused with a time to come back. The load: a whole zone goes dark, and each
-// of its engines is given up by the first of the calls that wait there; 43
-// calls of one day were told nothing better than that they may have run.
-func TestGivenUpWhileDialling(t *testing.T) {
+// A call that was still waiting for a connection when its target was ejected or its
+// deadline passed has not run: it goes to another target or is rejected with Retry-After.
+// It must not fail as if it may have run.
+func TestAttemptEndedWhileDialling(t *testing.T) {
 	tests := []struct {
 		name   string
 		kind   ragworthitch.CallKind
 		s      diallingSender
 		status int
 	}{
-		{"another target takes the stream", ragworthitch.CallStream, diallingSender{lostAfter: 50 * time.Millisecond, connects: 2}, http.StatusOK},
-		{"the target's boot has ended", ragworthitch.CallStream, diallingSender{lostAfter: 50 * time.Millisecond, connects: 2, ended: true}, http.StatusOK},
-		{"all targets are given up", ragworthitch.CallStream, diallingSender{lostAfter: 50 * time.Millisecond}, http.StatusServiceUnavailable},
-		{"the stream's time is over", ragworthitch.CallStream, diallingSender{}, http.StatusServiceUnavailable},
-		{"the call's time is over", ragworthitch.CallUnsafe, diallingSender{}, http.StatusServiceUnavailable},
+		{"another target takes the stream", ragworthitch.CallStream, diallingSender{targetLostAfter: 50 * time.Millisecond, connectsFrom: 2}, http.StatusOK},
+		{"the target's boot has ended", ragworthitch.CallStream, diallingSender{targetLostAfter: 50 * time.Millisecond, connectsFrom: 2, bootEnds: true}, http.StatusOK},
+		{"all targets are lost", ragworthitch.CallStream, diallingSender{targetLostAfter: 50 * time.Millisecond}, http.StatusServiceUnavailable},
+		{"the stream's deadline passes", ragworthitch.CallStream, diallingSender{}, http.StatusServiceUnavailable},
+		{"the call's deadline passes", ragworthitch.CallUnsafe, diallingSender{}, http.StatusServiceUnavailable},
 	}
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
--- a/ingress/events.go
+++ b/ingress/events.go
@@ -9,45 +9,43 @@
 )
 
 const (
-	// maxEvent bounds one event of a stream; events hold a few tokens.
-	maxEvent = 256 << 10
-	// eventBuffer is the usual size of a read buffer: some events of 60 to
-	// 400 bytes.
-	eventBuffer = 4 << 10
+	maxEventBytes = 256 << 10
+	// eventBufferBytes holds several events of a usual size.
+	eventBufferBytes = 4 << 10
 )
 
 var (
-	errEventGap = errors.New("ingress: the stream goes on after a gap")
-	eventEnds   = [][]byte{[]byte("\n\n"), []byte("\n\r\n")}
-	idField     = []byte("id:")
+	errEventGap      = errors.New("ingress: event id does not follow the last one sent")
+	eventTerminators = [][]byte{[]byte("\n\n"), []byte("\n\r\n")}
+	idField          = []byte("id:")
 )
 
-// Event is one whole event of a stream, bytes as the target sent them.
+// Event is one event of a stream, as sent by the target.
 type Event struct {
 	Raw []byte
-	ID  int64 // rises from event to event; 0 if it has none
+	ID  int64 // increases from event to event; 0: none
 }
 
-// readEvents hands every whole event of a text/event-stream to emit, which
-// may keep it. An event that is cut off is not handed on. It returns nil
-// when the stream ended where its target ended it.
+// readEvents passes every complete event of a text/event-stream to emit, which may keep
+// it. A truncated event is not passed on. It returns nil if the stream ended between two
+// events.
 func readEvents(r io.Reader, emit func(Event) bool) error {
-	sc := bufio.NewScanner(r)
-	sc.Buffer(make([]byte, 0, eventBuffer), maxEvent)
-	sc.Split(splitEvents)
-	for sc.Scan() {
-		raw := bytes.Clone(sc.Bytes())
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, eventBufferBytes), maxEventBytes)
+	scanner.Split(splitEvents)
+	for scanner.Scan() {
+		raw := bytes.Clone(scanner.Bytes())
 		if !emit(Event{Raw: raw, ID: eventID(raw)}) {
 			return nil
 		}
 	}
-	return sc.Err()
+	return scanner.Err()
 }
 
-// splitEvents is a bufio.SplitFunc: an event ends with an empty line.
+// splitEvents is a bufio.SplitFunc. An event ends with an empty line.
 func splitEvents(data []byte, atEOF bool) (int, []byte, error) {
 	end := 0
-	for _, e := range eventEnds {
+	for _, e := range eventTerminators {
 		if i := bytes.Index(data, e); i >= 0 && (end == 0 || i+len(e) < end) {
 			end = i + len(e)
 		}
@@ -61,7 +59,7 @@
 	return 0, nil, nil
 }
 
-// eventID is the number in the event's id line, or 0.
+// eventID returns the number in the event's id field, or 0.
 func eventID(raw []byte) int64 {
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		v, ok := bytes.CutPrefix(line, idField)
--- a/ingress/guard.go
+++ b/ingress/guard.go
@@ -8,19 +8,19 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// errPanicked is how a run ends that panics in this process. It says nothing of the
-// run's target, which keeps its other work.
-var errPanicked = errors.New("ingress: panic")
+// errPanic is the error of an attempt during which this process panicked. The target is
+// not at fault and keeps its other calls.
+var errPanic = errors.New("ingress: panic")
 
-// guarded runs a part of a call that has a goroutine of its own, and returns what it
-// panicked with. A panic would end this instance with all its calls, and the call's
-// next try another one.
-func (h *Handler) guarded(request string, f func()) (err error) {
+// catchPanic runs f, a part of a call in a goroutine of its own, and returns its panic as
+// an error. Otherwise the panic would end this instance with all its calls, and a retry of
+// the call would end another one.
+func (h *Handler) catchPanic(requestID string, f func()) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			h.stats.panics.Inc(1)
-			h.log.Error().Str("request", request).Interface("panic", v).Bytes("stack", debug.Stack()).Msg("ingress: panic, kept to its call")
-			err = fmt.Errorf("%w: %w: %v", upstream.ErrSent, errPanicked, v)
+			h.log.Error().Str("request", requestID).Interface("panic", v).Bytes("stack", debug.Stack()).Msg("ingress: panic while handling a call; other calls continue")
+			err = fmt.Errorf("%w: %w: %v", upstream.ErrSent, errPanic, v)
 		}
 	}()
 	f()
--- a/ingress/guard_test.go
+++ b/ingress/guard_test.go
@@ -14,32 +14,30 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// panickingSender panics over a call with a body, while it sends it or while it reads
-// the answer, and serves others.
+// panickingSender panics when it sends a call with the poison body or, if reading is set,
+// when the answer is read. It serves other calls.
 type panickingSender struct{ reading bool }
 
-// Send answers one order.
 func (s panickingSender) Send(_ context.Context, o *Order) (*Reply, error) {
 	events := func(emit func(Event) bool) error {
-		if string(o.Call.Body) == deadly {
+		if string(o.Call.Body) == poisonBody {
 			panic("reading")
 		}
 		emit(Event{Raw: []byte("id: 1\ndata: a\n\n"), ID: 1})
 		return nil
 	}
-	if string(o.Call.Body) == deadly && !s.reading {
+	if string(o.Call.Body) == poisonBody && !s.reading {
 		panic("sending")
 	}
 	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("answer"), Events: events}, nil
 }
 
-// Probe finds nobody.
+// Probe fails.
 func (panickingSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
 
-// A call over which this process panics, wherever that is, ends alone: with the
-// instance all its calls would end, and the call's next try would end another one. The
-// targets that it was sent to are not at fault, and take the next call.
-func TestPanicIsKeptToItsCall(t *testing.T) {
+// A panic while a call is sent or its answer is read ends only that call, not the
+// instance, and its targets are not ejected.
+func TestPanicEndsOnlyItsCall(t *testing.T) {
 	tests := []struct {
 		name    string
 		kind    ragworthitch.CallKind
@@ -52,11 +50,11 @@
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
 			h := modelHandler(t, panickingSender{tt.reading}, tt.kind)
-			w, cut := serve(h, crashCall(deadly))
+			w, cut := serve(h, crashCall(poisonBody))
 			assert.True(t, cut || w.Code == http.StatusBadGateway, "status %d", w.Code)
 			synctest.Wait()
 			for _, m := range h.targets.All() {
-				assert.True(t, m.Takes(clock.Now()), "%s is left alone for this process's panic", m.Target().ID())
+				assert.True(t, m.Takes(clock.Now()), "%s is ejected for this process's panic", m.Target().ID())
 			}
 			w, cut = serve(h, crashCall("other"))
 			assert.False(t, cut)
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -25,56 +25,53 @@
 	"github.com/ragworthitch/ragworthitch/route"
 )
 
-// Retry-After of refusals, by cause. Each is spread by up to half of itself,
-// so that refused callers do not come back together.
+// Retry-After of rejected calls, by cause. Each value is varied by 25 % up or down, so
+// that rejected callers do not retry at the same moment.
 const (
-	// unknownShare of the caller's patience is sent while the state in force
-	// is not known here: mostly it is known elsewhere, and the caller's next
-	// try goes there. A fortieth leaves a short call its time (100 ms of 4 s)
-	// and lets a patient one outwait the start of an instance.
-	unknownShare = 1.0 / 40
-	// unknownRetry is sent to callers that do not say how long they wait.
-	unknownRetry = 100 * time.Millisecond
-	// noTargetRetry is sent when no target can take the call: a target that
-	// failed is tried again after 500 ms.
-	noTargetRetry = 400 * time.Millisecond
-	// leavingRetry is sent by an instance that is about to end; others are
-	// there already.
-	leavingRetry = 20 * time.Millisecond
+	// unknownStateRetryShare of the caller's timeout is sent while this instance has no
+	// valid desired state. Other instances mostly have one, and the retry reaches one of
+	// them.
+	unknownStateRetryShare = 1.0 / 40
+	// unknownStateRetryAfter is sent to callers with an unknown timeout.
+	unknownStateRetryAfter = 100 * time.Millisecond
+	// noTargetRetryAfter is sent when no target accepts the call.
+	noTargetRetryAfter = 400 * time.Millisecond
+	// drainingRetryAfter is sent by a draining instance; the retry reaches another one.
+	drainingRetryAfter = 20 * time.Millisecond
 )
 
 type (
-	// Handler serves calls. Make one with New.
+	// Handler serves calls. Create one with New.
 	Handler struct {
-		zone     string
-		book     *desired.Book
-		targets  *registry.Registry
-		recall   *recall.Recall
-		budget   *budget.Budget
-		send     Sender
-		engines  EnginePolicy
-		await    time.Duration
-		tell     func()
-		borrow   func(ctx context.Context, service string)
-		crashes  *poison.Book
-		rollouts *rollout.Book
-		claim    func(ctx context.Context, t poison.Trial) bool
-		ready    func() bool
-		links    health.Links
-		paces    pace.Services
-		speeds   *pace.Pace // nil: they are learnt
-		log      zerolog.Logger
-		stats    stats
-
-		leaving atomic.Bool
-		cutAt   atomic.Int64 // clock.Time at which a leaving instance cuts its streams
-		active  atomic.Int64
-	}
-
-	// EnginePolicy chooses among model engines.
+		zone           string
+		desiredState   *desired.Book
+		targets        *registry.Registry
+		cacheLocations *recall.Recall
+		retryBudget    *budget.Budget
+		sender         Sender
+		enginePolicy   EnginePolicy
+		targetWait     time.Duration
+		notifyPeers    func()
+		borrowRetries  func(ctx context.Context, service string)
+		poisonTracker  *poison.Book
+		rollouts       *rollout.Book
+		claimProbe     func(ctx context.Context, t poison.Trial) bool
+		isReady        func() bool
+		links          health.Links
+		paces          pace.Services
+		fixedPace      *pace.Pace // nil: speeds are learned
+		log            zerolog.Logger
+		stats          stats
+
+		draining      atomic.Bool
+		drainDeadline atomic.Int64 // clock.Time at which a draining instance ends its streams
+		active        atomic.Int64
+	}
+
+	// EnginePolicy selects among model engines.
 	EnginePolicy = route.Policy[route.EngineCandidate]
 
-	// Config is what a Handler works with.
+	// Config holds the dependencies and settings of a Handler.
 	Config struct {
 		Zone    string
 		Book    *desired.Book
@@ -83,19 +80,18 @@
 		Budget  *budget.Budget
 		Sender  Sender
 		Engines EnginePolicy  // nil: route.Engines
-		Speeds  *pace.Pace    // speeds to go by, for comparison; nil: they are learnt
-		Await   time.Duration // how long a stream that lost its target waits for another to appear
-		Ready   func() bool   // callers are served well here; nil: always
-		Tell    func()        // has other instances told of this one's work; nil: nobody
-		// Borrow has repeats of a service borrowed of other instances for the
-		// budget, and returns when that has been tried; nil: nobody lends.
+		Speeds  *pace.Pace    // fixed engine speeds, for comparisons; nil: speeds are learned
+		Await   time.Duration // how long an interrupted stream waits for an available target
+		Ready   func() bool   // reports whether this instance serves calls well; nil: always
+		Tell    func()        // sends this instance's load and reports to its peers; nil: no peers
+		// Borrow requests retries of a service from peers for the retry budget and returns
+		// when the requests have completed; nil: no peers.
 		Borrow func(ctx context.Context, service string)
-		// Crashes is what is known of requests that crash targets; nil: what is seen
-		// here. Claim takes a trial of one that is condemned, and reports whether no
-		// other instance did; nil: there is none.
+		// Crashes tracks poison requests; nil: a tracker of this handler's own. Claim
+		// claims the probe of a quarantined request and reports whether this instance got
+		// it; nil: claims it in Crashes only.
 		Crashes *poison.Book
-		// Rollouts is what is known of services that are moved to a new version; nil:
-		// none is.
+		// Rollouts tracks the roll-outs of services; nil: none.
 		Rollouts *rollout.Book
 		Claim    func(ctx context.Context, t poison.Trial) bool
 		Log      zerolog.Logger
@@ -103,7 +99,7 @@
 	}
 )
 
-// New returns a handler.
+// New returns a Handler.
 func New(cfg Config) *Handler {
 	if cfg.Tell == nil {
 		cfg.Tell = func() {}
@@ -126,116 +122,115 @@
 	if cfg.Ready == nil {
 		cfg.Ready = func() bool { return true }
 	}
-	return &Handler{tell: cfg.Tell, borrow: cfg.Borrow, crashes: cfg.Crashes, rollouts: cfg.Rollouts, claim: cfg.Claim, ready: cfg.Ready, zone: cfg.Zone, book: cfg.Book, targets: cfg.Targets, recall: cfg.Recall, budget: cfg.Budget,
-		send: cfg.Sender, engines: cfg.Engines, speeds: cfg.Speeds, await: cfg.Await, log: cfg.Log, stats: newStats(cfg.Scope)}
+	return &Handler{notifyPeers: cfg.Tell, borrowRetries: cfg.Borrow, poisonTracker: cfg.Crashes, rollouts: cfg.Rollouts, claimProbe: cfg.Claim, isReady: cfg.Ready, zone: cfg.Zone, desiredState: cfg.Book, targets: cfg.Targets, cacheLocations: cfg.Recall, retryBudget: cfg.Budget,
+		sender: cfg.Sender, enginePolicy: cfg.Engines, fixedPace: cfg.Speeds, targetWait: cfg.Await, log: cfg.Log, stats: newStats(cfg.Scope)}
 }
 
-// Leave makes the handler ask callers to use other instances, and refuse new
-// streams that are not likely to end before cutAt.
-func (h *Handler) Leave(cutAt clock.Time) {
-	h.cutAt.Store(int64(cutAt))
-	h.leaving.Store(true)
+// Leave starts draining: the handler asks callers to use other instances and rejects new
+// streams that are unlikely to end before the deadline.
+func (h *Handler) Leave(deadline clock.Time) {
+	h.drainDeadline.Store(int64(deadline))
+	h.draining.Store(true)
 }
 
 // Leaving reports whether Leave was called.
-func (h *Handler) Leaving() bool { return h.leaving.Load() }
+func (h *Handler) Leaving() bool { return h.draining.Load() }
 
-// Active is the number of calls in progress.
+// Active returns the number of calls in progress.
 func (h *Handler) Active() int { return int(h.active.Load()) }
 
-// Serve answers one call. ctx ends when the caller is gone.
-func (h *Handler) Serve(ctx context.Context, w http.ResponseWriter, c *Call) {
+// Serve answers one call. ctx is cancelled when the caller disconnects.
+func (h *Handler) Serve(ctx context.Context, w http.ResponseWriter, call *Call) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
-	if h.Leaving() || !h.ready() {
-		// The caller's next call goes to another instance.
+	if h.Leaving() || !h.isReady() {
+		// Makes the caller open its next connection to another instance.
 		w.Header().Set("Connection", "close")
 	}
 	now := clock.Now()
-	g, err := h.book.Judge(now, c.Host, c.Path, c.Key, rand.Float64())
+	grant, err := h.desiredState.Judge(now, call.Host, call.Path, call.Key, rand.Float64())
 	if err != nil {
-		h.deny(w, c, g, err)
+		h.deny(w, call, grant, err)
 		return
 	}
-	limit := g.Route.Timeout()
-	if c.Patience > 0 {
-		limit = min(limit, c.Patience)
+	limit := grant.Route.Timeout()
+	if call.Patience > 0 {
+		limit = min(limit, call.Patience)
 	}
-	limit -= now.Sub(c.Received)
+	limit -= now.Sub(call.Received)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	j := &job{h: h, w: w, c: c, g: g, print: poison.Of(g.Org, c.Method, c.Host, c.Path, c.Body), deadline: now.Add(limit)}
-	if !j.admitted(ctx) {
+	c := &activeCall{h: h, w: w, call: call, grant: grant, print: poison.Of(grant.Org, call.Method, call.Host, call.Path, call.Body), deadline: now.Add(limit)}
+	if !c.passesQuarantine(ctx) {
 		return
 	}
-	h.budget.Called(g.Service.Name(), now)
-	j.lane = h.rollouts.Enter(g.Service.Name(), g.Route.Name())
-	if g.Route.Kind() != ragworthitch.CallStream {
-		j.plain(ctx)
+	h.retryBudget.Called(grant.Service.Name(), now)
+	c.lane = h.rollouts.Enter(grant.Service.Name(), grant.Route.Name())
+	if grant.Route.Kind() != ragworthitch.CallStream {
+		c.servePlain(ctx)
 		return
 	}
-	s := newStream(j)
-	if h.Leaving() && s.likely() > clock.Time(h.cutAt.Load()).Sub(now) {
-		// It would be cut at the end of the grace period; another instance
-		// can serve it whole.
-		j.refuse("leaving", leavingRetry)
+	stream := newStream(c)
+	if h.Leaving() && stream.likelyDuration() > clock.Time(h.drainDeadline.Load()).Sub(now) {
+		// The stream would be cut off at the end of the grace period.
+		c.reject("draining", drainingRetryAfter)
 		return
 	}
-	s.run(ctx)
+	stream.serve(ctx)
 }
 
-// ServeWhole serves one call whose caller is no HTTP connection, and reports
-// whether the answer is complete. Serve ends an answer that must not look
-// complete as net/http's handlers do, by a panic with http.ErrAbortHandler.
-func (h *Handler) ServeWhole(ctx context.Context, w http.ResponseWriter, c *Call) (whole bool) {
-	h.guarded(c.ID, func() {
+// ServeWhole serves a call whose caller is not an HTTP connection and reports whether the
+// answer is complete. Like net/http's handlers, Serve panics with http.ErrAbortHandler to
+// end an answer that must not look complete.
+func (h *Handler) ServeWhole(ctx context.Context, w http.ResponseWriter, call *Call) (complete bool) {
+	h.catchPanic(call.ID, func() {
 		defer func() {
 			if r := recover(); r != nil && r != http.ErrAbortHandler {
 				panic(r)
 			}
 		}()
-		h.Serve(ctx, w, c)
-		whole = true
+		h.Serve(ctx, w, call)
+		complete = true
 	})
-	return whole
+	return complete
 }
 
-// deny answers a call that the state in force does not allow, or that cannot
-// be judged now.
-func (h *Handler) deny(w http.ResponseWriter, c *Call, g desired.Grant, err error) {
-	status, retry := http.StatusServiceUnavailable, unknownRetry
-	if c.Patience > 0 {
-		retry = time.Duration(unknownShare * float64(c.Patience))
+// deny answers a call that the desired state does not allow or that cannot be checked at
+// the moment.
+func (h *Handler) deny(w http.ResponseWriter, call *Call, grant desired.Grant, err error) {
+	status, retryAfter := http.StatusServiceUnavailable, unknownStateRetryAfter
+	if call.Patience > 0 {
+		retryAfter = time.Duration(unknownStateRetryShare * float64(call.Patience))
 	}
 	switch {
 	case errors.Is(err, desired.ErrNoRoute):
-		status, retry = http.StatusNotFound, 0
+		status, retryAfter = http.StatusNotFound, 0
 	case errors.Is(err, desired.ErrNoKey):
-		status, retry = http.StatusUnauthorized, 0
+		status, retryAfter = http.StatusUnauthorized, 0
 	}
 	h.stats.denied.Inc(1)
-	h.log.Info().Str("request", c.ID).Str("host", c.Host).Str("path", c.Path).Int64("version", g.Version).
-		Dur("proofAge", g.Age).Int("status", status).AnErr("cause", err).Msg("ingress: denied")
-	answer(w, status, retry)
+	h.log.Info().Str("request", call.ID).Str("host", call.Host).Str("path", call.Path).Int64("version", grant.Version).
+		Dur("proofAge", grant.Age).Int("status", status).AnErr("cause", err).Msg("ingress: denied")
+	writeStatus(w, status, retryAfter)
 }
 
-// answer writes an answer of our own; retry 0 sends no Retry-After.
-func answer(w http.ResponseWriter, status int, retry time.Duration) {
-	if retry > 0 {
-		spread := float64(retry) * (0.75 + 0.5*rand.Float64())
-		w.Header().Set("Retry-After", strconv.FormatFloat(spread/float64(time.Second), 'f', 3, 64))
+// writeStatus writes an empty answer; a retryAfter of 0 sends no Retry-After.
+func writeStatus(w http.ResponseWriter, status int, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		delay := float64(retryAfter) * (0.75 + 0.5*rand.Float64())
+		w.Header().Set("Retry-After", strconv.FormatFloat(delay/float64(time.Second), 'f', 3, 64))
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
 
-// passOn copies a reply's head to the caller.
-func passOn(w http.ResponseWriter, r *Reply) {
-	dst := w.Header()
-	for k, v := range r.Header {
-		dst[k] = v
+// copyHead copies the headers of a reply to the caller's answer.
+func copyHead(w http.ResponseWriter, reply *Reply) {
+	header := w.Header()
+	for k, v := range reply.Header {
+		header[k] = v
 	}
-	if _, ok := r.Header["Content-Type"]; !ok {
-		dst["Content-Type"] = nil // keeps net/http from guessing one
+	if _, ok := reply.Header["Content-Type"]; !ok {
+		header["Content-Type"] = nil // prevents net/http from guessing a type
 	}
 }
--- a/ingress/job.go
+++ b/ingress/job.go
@@ -19,195 +19,192 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// job is one call in progress.
-type job struct {
-	h        *Handler
-	w        http.ResponseWriter
-	c        *Call
-	g        desired.Grant
-	print    poison.Fingerprint // the same for all tries of the request
-	deadline clock.Time
-	sends    int  // orders that reached a target, or may have
-	mayRun   bool // one of them may have run
-	tried    triedList
-	// reserved: the next repeat is already taken out of the budget.
-	reserved bool
-	trial    bool                        // it is condemned, and this is its one try
-	only     func(*registry.Member) bool // which targets may get it; nil: any
-	well     bool                        // it has been noted that it runs well
-	lane     rollout.Lane                // its place in a roll-out of its service
+// activeCall is the state of a call in progress, over all its attempts.
+type activeCall struct {
+	h          *Handler
+	w          http.ResponseWriter
+	call       *Call
+	grant      desired.Grant
+	print      poison.Fingerprint // identifies the request, also when the caller repeats it
+	deadline   clock.Time
+	attempts   int  // attempts that reached a target or may have
+	mayHaveRun bool // an attempt may have run
+	tried      memberList
+	// retryReserved means that the next retry is already taken out of the retry budget.
+	retryReserved   bool
+	isProbe         bool                        // the request is quarantined, and this call is its probe
+	targetFilter    func(*registry.Member) bool // selects the targets that may get the call; nil: all
+	successRecorded bool                        // a successful attempt has been reported to the poison tracker
+	lane            rollout.Lane                // the call's part in a roll-out of its service
 }
 
-// left is how long an answer is still of use.
-func (j *job) left(now clock.Time) time.Duration { return j.deadline.Sub(now) }
+// remaining returns the time until the call's deadline.
+func (c *activeCall) remaining(now clock.Time) time.Duration { return c.deadline.Sub(now) }
 
-// service is the name of the call's service.
-func (j *job) service() string { return j.g.Service.Name() }
+func (c *activeCall) service() string { return c.grant.Service.Name() }
 
-// again reports whether the call may be sent once more: targets are left and
-// the repeat budget has room.
-func (j *job) again(ctx context.Context) bool {
-	if j.sends == 0 {
+// mayRetry reports whether the call may be sent to one more target. The first attempt
+// always may; a retry takes a target that the route allows and a retry of the budget.
+func (c *activeCall) mayRetry(ctx context.Context) bool {
+	if c.attempts == 0 {
 		return true
 	}
-	if j.sends >= j.g.Route.MaxTargets() || j.trial {
+	if c.attempts >= c.grant.Route.MaxTargets() || c.isProbe {
 		return false
 	}
-	if !j.borrow(ctx) {
+	if !c.obtainRetry(ctx) {
 		now := clock.Now()
-		j.h.stats.overBudget.Inc(1)
-		j.h.log.Info().Str("request", j.c.ID).Str("service", j.service()).Int("sends", j.sends).
-			Int("sharedBy", j.h.budget.Sharers(now)).Msg("ingress: no repeat left in the budget")
+		c.h.stats.overBudget.Inc(1)
+		c.h.log.Info().Str("request", c.call.ID).Str("service", c.service()).Int("sends", c.attempts).
+			Int("sharedBy", c.h.retryBudget.Sharers(now)).Msg("ingress: retry budget exhausted; call not retried")
 		return false
 	}
-	j.reserved = false
+	c.retryReserved = false
 	return true
 }
 
-// reserve takes the call's next repeat out of the budget, unless it has been
-// already, and reports whether there was one.
-func (j *job) reserve(now clock.Time) bool {
-	j.reserved = j.reserved || j.h.budget.Spend(j.service(), now)
-	return j.reserved
+// reserveRetry takes the next retry out of the retry budget, unless it is already
+// reserved, and reports whether a retry is reserved.
+func (c *activeCall) reserveRetry(now clock.Time) bool {
+	c.retryReserved = c.retryReserved || c.h.retryBudget.Spend(c.service(), now)
+	return c.retryReserved
 }
 
-// unsent notes that an order has not reached its target: the repeat that was taken
-// for it, if it was not the first, is left for the next.
-func (j *job) unsent() {
-	j.sends--
-	j.reserved = j.reserved || j.sends > 0
+// attemptNotSent takes back an attempt that has not reached its target. A retry that was
+// spent on the attempt stays reserved for the next one.
+func (c *activeCall) attemptNotSent() {
+	c.attempts--
+	c.retryReserved = c.retryReserved || c.attempts > 0
 }
 
-// borrow is reserve, and where there was none borrows of other instances.
-func (j *job) borrow(ctx context.Context) bool {
-	if j.reserve(clock.Now()) {
+// obtainRetry reserves a retry and, if the budget has none left, borrows one from peers.
+func (c *activeCall) obtainRetry(ctx context.Context) bool {
+	if c.reserveRetry(clock.Now()) {
 		return true
 	}
-	j.h.borrow(ctx, j.service())
-	return j.reserve(clock.Now())
+	c.h.borrowRetries(ctx, c.service())
+	return c.reserveRetry(clock.Now())
 }
 
-// pickPlain chooses a target of a plain service, or nil.
-func (j *job) pickPlain(now clock.Time) *registry.Member {
-	return j.placed(now, j.placement(now), func(ms []*registry.Member) *registry.Member { return j.pickPlainOf(ms, now) })
+// pickPlain selects a target of a plain service, or nil.
+func (c *activeCall) pickPlain(now clock.Time) *registry.Member {
+	return c.pickPlaced(now, c.placement(now), func(ms []*registry.Member) *registry.Member { return c.pickPlainFrom(ms, now) })
 }
 
-func (j *job) pickPlainOf(ms []*registry.Member, now clock.Time) *registry.Member {
-	cands := make([]route.PlainCandidate, len(ms))
+func (c *activeCall) pickPlainFrom(ms []*registry.Member, now clock.Time) *registry.Member {
+	candidates := make([]route.PlainCandidate, len(ms))
 	for i, m := range ms {
 		t := m.Target()
-		cands[i] = route.PlainCandidate{Takes: j.takes(m, now) && !j.tried.has(m), LatencyMs: m.Health().Latency(),
+		candidates[i] = route.PlainCandidate{Takes: c.mayReceive(m, now) && !c.tried.has(m), LatencyMs: m.Health().Latency(),
 			Errors: m.Health().Errors(now), Running: m.Work().All().Running, Slots: t.Slots(), Cold: m.Cold(now),
-			SameZone: t.Zone() == j.h.zone, Loss: j.h.links.Loss(t.Zone(), now), Jitter: rand.Float64()}
+			SameZone: t.Zone() == c.h.zone, Loss: c.h.links.Loss(t.Zone(), now), Jitter: rand.Float64()}
 	}
-	if i := route.Pick(cands, route.Plain{}, 0); i >= 0 {
+	if i := route.Pick(candidates, route.Plain{}, 0); i >= 0 {
 		return ms[i]
 	}
 	return nil
 }
 
-// pickEngine chooses a model engine outside of some zones, or nil.
-func (j *job) pickEngine(now clock.Time, notZones []string, bar ...*registry.Member) *registry.Member {
-	return j.placed(now, j.placement(now), func(ms []*registry.Member) *registry.Member { return j.pickEngineOf(ms, now, notZones, bar) })
+// pickEngine selects a model engine outside the excluded zones and targets, or nil.
+func (c *activeCall) pickEngine(now clock.Time, excludedZones []string, excluded ...*registry.Member) *registry.Member {
+	return c.pickPlaced(now, c.placement(now), func(ms []*registry.Member) *registry.Member {
+		return c.pickEngineFrom(ms, now, excludedZones, excluded)
+	})
 }
 
-func (j *job) pickEngineOf(ms []*registry.Member, now clock.Time, notZones []string, bar []*registry.Member) *registry.Member {
-	trouble := j.zoneTrouble(ms, now)
-	homes := j.homes(ms, now)
-	p := j.pace()
-	prompt := p.Prompt
-	if prompt == 0 {
-		prompt = float64(max(j.c.Prompt, 1))
+func (c *activeCall) pickEngineFrom(ms []*registry.Member, now clock.Time, excludedZones []string, excluded []*registry.Member) *registry.Member {
+	zoneOutages := c.zoneOutageProbability(ms, now)
+	preferred := c.preferredWeights(ms, now)
+	p := c.pace()
+	usualPrompt := p.Prompt
+	if usualPrompt == 0 {
+		usualPrompt = float64(max(c.call.Prompt, 1))
 	}
-	answer := j.answerReadings(p)
-	cands := make([]route.EngineCandidate, len(ms))
+	generation := c.generationInPrefills(p)
+	candidates := make([]route.EngineCandidate, len(ms))
 	for i, m := range ms {
 		t := m.Target()
-		load, gap := m.Work().All(), j.gap(m, p, now)
-		cands[i] = route.EngineCandidate{Takes: j.takes(m, now), Backlog: float64(load.Prefill) / prompt, Running: load.Running, Memory: memory(load.Tokens, j.g.Service.Engine()),
-			Slow: slowness(gap, p), Answer: answer,
-			Late: j.late(load, gap, p, now), Errors: m.Health().Errors(now), SameZone: t.Zone() == j.h.zone, Trouble: trouble[t.Zone()],
-			Loss: j.h.links.Loss(t.Zone(), now), Cold: m.Cold(now),
-			Home: homes[i], Back: j.c.After != "",
-			Barred: slices.Contains(notZones, t.Zone()) || slices.Contains(bar, m), Jitter: rand.Float64()}
+		load, interval := m.Work().All(), c.interval(m, p, now)
+		candidates[i] = route.EngineCandidate{Takes: c.mayReceive(m, now), Backlog: float64(load.Prefill) / usualPrompt, Running: load.Running, Memory: memoryShare(load.Tokens, c.grant.Service.Engine()),
+			Slow: slowness(interval, p), Answer: generation,
+			Late: c.firstEventLate(load, interval, p, now), Errors: m.Health().Errors(now), SameZone: t.Zone() == c.h.zone, Trouble: zoneOutages[t.Zone()],
+			Loss: c.h.links.Loss(t.Zone(), now), Cold: m.Cold(now),
+			Home: preferred[i], Back: c.call.After != "",
+			Barred: slices.Contains(excludedZones, t.Zone()) || slices.Contains(excluded, m), Jitter: rand.Float64()}
 	}
-	if i := route.Pick(cands, j.h.engines, 0); i >= 0 {
+	if i := route.Pick(candidates, c.h.enginePolicy, 0); i >= 0 {
 		return ms[i]
 	}
 	return nil
 }
 
-// late reports whether the first event of a stream sent now to an engine with
-// that load, and with a gap between events, is expected after the time within
-// which the caller expects it.
-func (j *job) late(load registry.Load, gap time.Duration, p pace.Pace, now clock.Time) bool {
-	aim := j.g.Route.Target()
-	expected := p.First(load.Prefill+j.c.Prompt, gap)
-	return aim > 0 && expected > aim-now.Sub(j.c.Received)
+// firstEventLate reports whether the first event of a stream sent now to an engine with
+// the given load and event interval is expected after its objective.
+func (c *activeCall) firstEventLate(load registry.Load, interval time.Duration, p pace.Pace, now clock.Time) bool {
+	objective := c.grant.Route.Target()
+	expected := p.First(load.Prefill+c.call.Prompt, interval)
+	return objective > 0 && expected > objective-now.Sub(c.call.Received)
 }
 
-// pace is what is known of the speed of the call's service.
-func (j *job) pace() pace.Pace {
-	if j.h.speeds != nil {
-		return *j.h.speeds
+// pace returns the learned speeds of the call's service.
+func (c *activeCall) pace() pace.Pace {
+	if c.h.fixedPace != nil {
+		return *c.h.fixedPace
 	}
-	return j.h.paces.Of(j.service()).Pace()
+	return c.h.paces.Of(c.service()).Pace()
 }
 
-// gap is how far apart events of a run at m are expected to be; 0 if that is
-// not known.
-func (j *job) gap(m *registry.Member, p pace.Pace, now clock.Time) time.Duration {
-	return j.gapAmong(m, p.Gap, now)
+// interval returns the expected event interval at m; 0 if unknown.
+func (c *activeCall) interval(m *registry.Member, p pace.Pace, now clock.Time) time.Duration {
+	return c.intervalOr(m, p.Gap, now)
 }
 
-// gapAmong is the same where no more is known of the service than its usual gap.
-func (j *job) gapAmong(m *registry.Member, usual time.Duration, now clock.Time) time.Duration {
-	if j.h.speeds != nil {
-		return j.h.speeds.Gap
+// intervalOr is like interval, given only the usual event interval of the service.
+func (c *activeCall) intervalOr(m *registry.Member, usual time.Duration, now clock.Time) time.Duration {
+	if c.h.fixedPace != nil {
+		return c.h.fixedPace.Gap
 	}
 	return m.Pace().Gap(usual, now)
 }
 
-// slowness is how slow an engine with a gap between events is against the usual
-// one; 0 if not known.
-func slowness(gap time.Duration, p pace.Pace) float64 {
+// slowness returns an engine's event interval relative to the usual one; 0 if unknown.
+func slowness(interval time.Duration, p pace.Pace) float64 {
 	if p.Gap == 0 {
 		return 0
 	}
-	return float64(gap) / float64(p.Gap)
+	return float64(interval) / float64(p.Gap)
 }
 
-// answerReadings is what generating a usual answer to the call takes, in
-// readings of a usual prompt; 0 if not known.
-func (j *job) answerReadings(p pace.Pace) float64 {
-	stride := j.stride()
-	if stride == 0 || p.Prompt == 0 || p.Ratio == 0 {
+// generationInPrefills returns the time to generate a usual answer to the call as a
+// multiple of the time to prefill a usual prompt; 0 if unknown.
+func (c *activeCall) generationInPrefills(p pace.Pace) float64 {
+	tokensPerEvent := c.tokensPerEvent()
+	if tokensPerEvent == 0 || p.Prompt == 0 || p.Ratio == 0 {
 		return 0
 	}
-	return p.Length * float64(j.c.Output/stride) / (p.Prompt * p.Ratio)
+	return p.Length * float64(c.call.Output/tokensPerEvent) / (p.Prompt * p.Ratio)
 }
 
-// stride is how many tokens an event of the service's streams has; 0 if that
-// is not known.
-func (j *job) stride() int {
-	if e := j.g.Service.Engine(); e != nil {
+// tokensPerEvent returns the number of tokens in an event; 0 if unknown.
+func (c *activeCall) tokensPerEvent() int {
+	if e := c.grant.Service.Engine(); e != nil {
 		return e.Stride
 	}
 	return 0
 }
 
-// homes says how much each engine is at home for the call: where its prompt
-// was read last, if that is remembered, else by hashing.
-func (j *job) homes(ms []*registry.Member, now clock.Time) []float64 {
-	if b, ok := j.h.recall.Where(j.c.Subject, now); ok {
-		i := slices.IndexFunc(ms, func(m *registry.Member) bool { return m.Target().Boot() == b })
+// preferredWeights returns how strongly each engine is preferred for the call: the engine
+// with the cached prefix if known, otherwise by rendezvous hashing.
+func (c *activeCall) preferredWeights(ms []*registry.Member, now clock.Time) []float64 {
+	if boot, ok := c.h.cacheLocations.Where(c.call.Subject, now); ok {
+		i := slices.IndexFunc(ms, func(m *registry.Member) bool { return m.Target().Boot() == boot })
 		if i >= 0 {
 			out := make([]float64, len(ms))
 			out[i] = 1
 			return out
 		}
 	}
-	return route.Homes(j.c.Subject, addresses(ms))
+	return route.Homes(c.call.Subject, addresses(ms))
 }
 
 func addresses(ms []*registry.Member) []string {
@@ -218,117 +215,117 @@
 	return out
 }
 
-// memory is the share of an engine's memory that so many tokens take.
-func memory(tokens int, e *ragworthitch.Engine) float64 {
-	if e == nil || e.KVTokens == 0 {
+// memoryShare returns the share of an engine's KV cache that the tokens take.
+func memoryShare(tokens int, engine *ragworthitch.Engine) float64 {
+	if engine == nil || engine.KVTokens == 0 {
 		return 0
 	}
-	return float64(tokens) / float64(e.KVTokens)
+	return float64(tokens) / float64(engine.KVTokens)
 }
 
-// failed notes that a target does not serve.
-func (j *job) failed(m *registry.Member, cause health.Cause, err error) {
-	out := m.Health().Failed(clock.Now())
+// eject removes a target from selection for a while and ends the attempts at it.
+func (c *activeCall) eject(m *registry.Member, cause health.Cause, err error) {
+	ejectedFor := m.Health().Failed(clock.Now())
 	m.Conns().DropIdle()
-	j.h.stats.targetsOut.Inc(1)
+	c.h.stats.ejections.Inc(1)
 	if t := m.Target(); !t.Draining() {
-		j.h.crashes.Lost(poison.Loss{Service: t.Service(), Zone: t.Zone(), Boot: t.Boot(), Targets: len(j.h.targets.Service(t.Service()))}, clock.Now())
+		c.h.poisonTracker.Lost(poison.Loss{Service: t.Service(), Zone: t.Zone(), Boot: t.Boot(), Targets: len(c.h.targets.Service(t.Service()))}, clock.Now())
 	}
-	j.h.log.Warn().Str("request", j.c.ID).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Str("cause", string(cause)).
-		AnErr("error", err).Dur("outFor", out).Msg("health: target left alone")
-	j.askPeers(m)
+	c.h.log.Warn().Str("request", c.call.ID).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Str("cause", string(cause)).
+		AnErr("error", err).Dur("outFor", ejectedFor).Msg("health: target ejected")
+	c.checkZoneNeighbours(m)
 }
 
-// askPeers asks the failed target's neighbours that have work of ours for a
-// connection: targets of a zone fail together, and the calls on the others
-// then need not wait for their own silence.
-func (j *job) askPeers(failed *registry.Member) {
+// checkZoneNeighbours checks the connections of the other targets in the zone of an
+// ejected one that have work of this instance. Targets of a zone often fail together, and
+// the calls at the others then need not wait for their own timeouts.
+func (c *activeCall) checkZoneNeighbours(ejected *registry.Member) {
 	now := clock.Now()
-	for _, m := range j.h.targets.Service(failed.Target().Service()) {
-		if m == failed || m.Work().Own().Running == 0 || m.Target().Zone() != failed.Target().Zone() || !m.Health().Usable(now) {
+	for _, m := range c.h.targets.Service(ejected.Target().Service()) {
+		if m == ejected || m.Work().Own().Running == 0 || m.Target().Zone() != ejected.Target().Zone() || !m.Health().Usable(now) {
 			continue
 		}
-		go j.probe(m, health.CauseSilent)
+		go c.ejectIfUnreachable(m, health.CauseSilent)
 	}
 }
 
-// probe asks a target for a connection and notes if there is none.
-func (j *job) probe(m *registry.Member, cause health.Cause) {
-	if err := j.reach(m); err != nil {
-		j.failed(m, cause, err)
+// ejectIfUnreachable ejects a target that accepts no connection.
+func (c *activeCall) ejectIfUnreachable(m *registry.Member, cause health.Cause) {
+	if err := c.checkConnection(m); err != nil {
+		c.eject(m, cause, err)
 	}
 }
 
-// reach asks a target for a connection, unless somebody does so already. An
-// error means that it took none.
-func (j *job) reach(m *registry.Member) error {
+// checkConnection opens a connection to a target, unless a check is already in progress,
+// and returns an error if the target accepts none.
+func (c *activeCall) checkConnection(m *registry.Member) error {
 	if !m.Health().BeginProbe() {
 		return nil
 	}
 	defer m.Health().EndProbe()
-	begun := clock.Now()
-	err := j.h.send.Probe(context.Background(), m)
-	if err != nil && overslept(upstream.DialTimeout, clock.Now().Sub(begun)) {
-		return nil // this process stood still: the answer may wait to be read
+	startedAt := clock.Now()
+	err := c.h.sender.Probe(context.Background(), m)
+	if err != nil && timerOverran(upstream.DialTimeout, clock.Now().Sub(startedAt)) {
+		return nil // this process was stalled: the answer may be waiting to be read
 	}
 	return err
 }
 
-// suspect asks a target whose answer broke off for a connection. A single
-// reset connection says little; a refused one means that the target is gone,
-// and all other calls on it move at once.
-func (j *job) suspect(m *registry.Member) {
+// checkAfterReset checks the connection of a target whose answer broke off. The reset may
+// concern one connection only; if the target refuses a new one, it is ejected and all
+// other calls at it fail over.
+func (c *activeCall) checkAfterReset(m *registry.Member) {
 	m.Conns().DropIdle()
-	go j.probe(m, health.CauseRefused)
+	go c.ejectIfUnreachable(m, health.CauseRefused)
 }
 
-// elsewhere notes that a target's address answered for another target.
-func (j *job) elsewhere(m *registry.Member) {
-	j.h.targets.Refused(m.Target().Boot(), clock.Now())
-	j.h.log.Warn().Str("request", j.c.ID).Str("target", m.Target().ID()).Str("address", m.Target().Address()).
-		Msg("health: address answers for another target; entry dropped")
+// dropStaleEntry drops the entry of a target at whose address another target answers.
+func (c *activeCall) dropStaleEntry(m *registry.Member) {
+	c.h.targets.Refused(m.Target().Boot(), clock.Now())
+	c.h.log.Warn().Str("request", c.call.ID).Str("target", m.Target().ID()).Str("address", m.Target().Address()).
+		Msg("health: another target answers at the address; stale entry dropped")
 }
 
-// abandoned ends a call whose caller has left. It never returns: a handler
-// that returns without an answer sends an empty success.
-func (j *job) abandoned() {
-	j.h.stats.abandoned.Inc(1)
-	j.log(0, "caller left", nil)
+// abandon ends a call whose caller has disconnected. It never returns: a handler that
+// returns without an answer sends an empty success.
+func (c *activeCall) abandon() {
+	c.h.stats.abandoned.Inc(1)
+	c.logFailure(0, "caller disconnected", nil)
 	panic(http.ErrAbortHandler)
 }
 
-// refuse tells the caller that the call was not run and when to come back.
-func (j *job) refuse(cause string, retry time.Duration) {
-	j.h.stats.refused.Inc(1)
-	j.log(http.StatusServiceUnavailable, cause, nil)
-	answer(j.w, http.StatusServiceUnavailable, retry)
+// reject answers a call that did not run, with the time after which to retry.
+func (c *activeCall) reject(cause string, retryAfter time.Duration) {
+	c.h.stats.rejected.Inc(1)
+	c.logFailure(http.StatusServiceUnavailable, cause, nil)
+	writeStatus(c.w, http.StatusServiceUnavailable, retryAfter)
 }
 
-// fail gives the call up: a refusal if it certainly did not run, otherwise
-// an answer that promises nothing.
-func (j *job) fail(status int, cause string, err error) {
-	if !j.mayRun {
-		j.refuse(cause, noTargetRetry)
+// fail rejects a call that certainly did not run, and otherwise answers with the status,
+// which leaves open whether the call ran.
+func (c *activeCall) fail(status int, cause string, err error) {
+	if !c.mayHaveRun {
+		c.reject(cause, noTargetRetryAfter)
 		return
 	}
-	j.h.stats.failed.Inc(1)
-	j.log(status, cause, err)
-	answer(j.w, status, 0)
+	c.h.stats.failed.Inc(1)
+	c.logFailure(status, cause, err)
+	writeStatus(c.w, status, 0)
 }
 
-// answered writes the line of a call that a target answered.
-func (j *job) answered(m *registry.Member, status int) {
-	j.h.stats.answered.Inc(1)
-	j.h.log.Info().Str("request", j.c.ID).Str("route", j.g.Route.Name()).Str("kind", j.g.Route.Kind().String()).
-		Str("org", j.g.Org).Int64("version", j.g.Version).Dur("proofAge", j.g.Age).Str("target", m.Target().ID()).
-		Int("sends", j.sends).Int("status", status).Dur("after", clock.Now().Sub(j.c.Received)).Msg("ingress: answered")
+// recordAnswer counts and logs a call that a target answered.
+func (c *activeCall) recordAnswer(m *registry.Member, status int) {
+	c.h.stats.answered.Inc(1)
+	c.h.log.Info().Str("request", c.call.ID).Str("route", c.grant.Route.Name()).Str("kind", c.grant.Route.Kind().String()).
+		Str("org", c.grant.Org).Int64("version", c.grant.Version).Dur("proofAge", c.grant.Age).Str("target", m.Target().ID()).
+		Int("sends", c.attempts).Int("status", status).Dur("after", clock.Now().Sub(c.call.Received)).Msg("ingress: answered")
 }
 
-// log writes the line of a call that is not answered by a target's success.
-func (j *job) log(status int, cause string, err error) {
+// logFailure logs a call that failed or was rejected.
+func (c *activeCall) logFailure(status int, cause string, err error) {
 	now := clock.Now()
-	j.h.log.Warn().Str("request", j.c.ID).Stringer("fingerprint", j.print).Str("route", j.g.Route.Name()).Str("kind", j.g.Route.Kind().String()).
-		Str("service", j.service()).Str("org", j.g.Org).Int64("version", j.g.Version).Dur("proofAge", j.g.Age).
-		Int("sends", j.sends).Bool("mayHaveRun", j.mayRun).Dur("after", now.Sub(j.c.Received)).Int("status", status).
+	c.h.log.Warn().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("route", c.grant.Route.Name()).Str("kind", c.grant.Route.Kind().String()).
+		Str("service", c.service()).Str("org", c.grant.Org).Int64("version", c.grant.Version).Dur("proofAge", c.grant.Age).
+		Int("sends", c.attempts).Bool("mayHaveRun", c.mayHaveRun).Dur("after", now.Sub(c.call.Received)).Int("status", status).
 		Str("cause", cause).AnErr("error", err).Msg("ingress: call failed")
 }
--- a/ingress/model_test.go
+++ b/ingress/model_test.go
@@ -33,39 +33,36 @@
 	maxTargets   = 4
 )
 
-// errBroken is how a model target's connection ends.
 var errBroken = errors.New("connection reset")
 
-// modelSender answers orders as a random choice of engines would: whole, cut
-// anywhere, late, refused, for another target, or with events that are not
-// the next ones.
+// modelSender answers at random like failing engines: complete, cut off at any byte,
+// refused, as another target, or with events out of sequence.
 type modelSender struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	runs  int // orders that a target has begun to run
-	sends int // orders that reached a target
+	mu      sync.Mutex
+	rng     *rand.Rand
+	started int // attempts that a target has started to run
+	reached int // attempts that reached a target
 }
 
-// Send answers one order.
 func (m *modelSender) Send(ctx context.Context, o *Order) (*Reply, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("%w: %w", upstream.ErrNotSent, ctx.Err())
 	}
-	fate := m.rng.IntN(10)
-	if fate == 0 {
+	outcome := m.rng.IntN(10)
+	if outcome == 0 {
 		return nil, fmt.Errorf("%w: refused", upstream.ErrNotSent)
 	}
-	m.sends++
-	switch fate {
+	m.reached++
+	switch outcome {
 	case 1:
 		return &Reply{Status: http.StatusServiceUnavailable, NotRun: true, Header: http.Header{}, Body: body("")}, nil
 	case 2:
 		return &Reply{Status: http.StatusMisdirectedRequest, Elsewhere: true, Header: http.Header{}, Body: body("")}, nil
 	}
-	m.runs++
-	switch fate {
+	m.started++
+	switch outcome {
 	case 3:
 		return nil, fmt.Errorf("%w: reset", upstream.ErrSent)
 	case 4:
@@ -74,43 +71,42 @@
 	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: m.stream(o)}, nil
 }
 
-// ran is how many orders a target has begun to run.
-func (m *modelSender) ran() int {
+// startedCount returns the number of attempts that a target has started to run.
+func (m *modelSender) startedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.runs
+	return m.started
 }
 
-// stream is a run's events: from after what the order says, or, when the
-// engine errs, from somewhere else; whole, or cut anywhere, also within an
-// event.
+// stream returns the events after the resume offset or, as an engine with a fault, from
+// another offset; complete or cut off at any byte.
 func (m *modelSender) stream(o *Order) io.ReadCloser {
-	from, _ := strconv.Atoi(o.After) // empty: from the start
+	lastEvent, _ := strconv.Atoi(o.After) // empty: from the start
 	switch fault := m.rng.IntN(8); {
 	case fault == 0:
-		from = max(0, from-1-m.rng.IntN(3)) // events that the caller has
-	case fault == 1 && from > 0 && from < modelEvents-2: // an end without events could not be told from the true one
-		from += 1 + m.rng.IntN(2) // a gap
+		lastEvent = max(0, lastEvent-1-m.rng.IntN(3)) // repeats events that the caller has
+	case fault == 1 && lastEvent > 0 && lastEvent < modelEvents-2: // without any event the gap could not be detected
+		lastEvent += 1 + m.rng.IntN(2) // leaves a gap
 	}
 	var b strings.Builder
-	for n := from + 1; n <= modelEvents; n++ {
+	for n := lastEvent + 1; n <= modelEvents; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s/%d\n\n", n, o.Call.ID, n)
 	}
 	if m.rng.IntN(2) == 0 || b.Len() == 0 {
 		return body(b.String())
 	}
-	return io.NopCloser(io.MultiReader(strings.NewReader(b.String()[:m.rng.IntN(b.Len())]), failing{}))
+	return io.NopCloser(io.MultiReader(strings.NewReader(b.String()[:m.rng.IntN(b.Len())]), brokenReader{}))
 }
 
 func body(s string) io.ReadCloser { return io.NopCloser(strings.NewReader(s)) }
 
-type failing struct{}
+type brokenReader struct{}
 
-// Read fails as a reset connection does.
-func (failing) Read([]byte) (int, error) { return 0, errBroken }
+// Read fails like a reset connection.
+func (brokenReader) Read([]byte) (int, error) { return 0, errBroken }
 
-// modelHandler is a handler before targets that no connection reaches: all
-// orders go to the sender, and probes find nobody.
+// modelHandler returns a handler with unreachable targets in three zones. All attempts go
+// to s.
 func modelHandler(t testing.TB, s Sender, kind ragworthitch.CallKind) *Handler {
 	d, err := ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: 1,
 		Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: "llm",
@@ -131,17 +127,17 @@
 		Budget: budget.New(budget.Limit{Ratio: 0.8, Extra: 1000, Span: 10 * time.Second}, nil)})
 }
 
-// serve serves one call and says whether the answer was cut.
+// serve serves one call and reports whether the answer was cut off.
 func serve(h *Handler, c *Call) (w *httptest.ResponseRecorder, cut bool) {
 	w = httptest.NewRecorder()
 	return w, !h.ServeWhole(context.Background(), w, c)
 }
 
-var eventForm = regexp.MustCompile(`^id: (\d+)\ndata: ([^/]+)/(\d+)\n\n`)
+var eventPattern = regexp.MustCompile(`^id: (\d+)\ndata: ([^/]+)/(\d+)\n\n`)
 
-// FuzzStream plays streams against engines that fail in every way at every
-// place. Whatever they do, the caller's events are numbered without a gap or
-// repeat, all of its own call, and an answer that is not cut is complete.
+// FuzzStream checks streams against engines that fail in any way: the caller gets events
+// of its own call only, numbered without a gap or a repetition, and an answer that is not
+// cut off is complete.
 func FuzzStream(f *testing.F) {
 	for seed := range uint64(300) {
 		f.Add(seed, uint8(seed%(modelEvents+1)))
@@ -155,36 +151,36 @@
 		}
 		w, cut := serve(modelHandler(t, s, ragworthitch.CallStream), c)
 		checkStream(t, w, cut, first)
-		require.LessOrEqual(t, s.ran(), maxTargets)
+		require.LessOrEqual(t, s.startedCount(), maxTargets)
 		if w.Code == http.StatusServiceUnavailable && !cut {
-			require.Zero(t, s.ran(), "refused as not run, though it ran")
+			require.Zero(t, s.startedCount(), "rejected as not run, though it ran")
 		}
 	})
 }
 
-func checkStream(t *testing.T, w *httptest.ResponseRecorder, cut bool, last int) {
+func checkStream(t *testing.T, w *httptest.ResponseRecorder, cut bool, lastEvent int) {
 	if w.Code != http.StatusOK || cut && w.Body.Len() == 0 {
 		return
 	}
-	require.Equal(t, "text/event-stream", w.Header().Get("Content-Type"), "a success without its target's head")
+	require.Equal(t, "text/event-stream", w.Header().Get("Content-Type"), "a success without the target's headers")
 	rest := w.Body.String()
 	for rest != "" {
-		m := eventForm.FindStringSubmatch(rest)
-		require.NotNil(t, m, "not a whole event: %q", rest)
+		m := eventPattern.FindStringSubmatch(rest)
+		require.NotNil(t, m, "incomplete event: %q", rest)
 		id, _ := strconv.Atoi(m[1])
-		require.Equal(t, last+1, id, "events are not in order")
+		require.Equal(t, lastEvent+1, id, "events are not in order")
 		require.Equal(t, m[1], m[3])
 		require.Equal(t, "call", m[2])
-		last = id
+		lastEvent = id
 		rest = rest[len(m[0]):]
 	}
 	if !cut {
-		require.Equal(t, modelEvents, last, "the answer looks complete")
+		require.Equal(t, modelEvents, lastEvent, "a truncated answer looks complete")
 	}
 }
 
-// FuzzUnsafe plays calls that may run once only: they never run twice, and
-// one that is refused as not run has not run.
+// FuzzUnsafe checks that an unsafe call runs at most once, and that a call rejected as not
+// run has not run.
 func FuzzUnsafe(f *testing.F) {
 	for seed := range uint64(300) {
 		f.Add(seed)
@@ -193,16 +189,16 @@
 		s := &modelSender{rng: rand.New(rand.NewPCG(seed, 3))}
 		w, _ := serve(modelHandler(t, s, ragworthitch.CallUnsafe), &Call{ID: "call", Method: "POST", Host: "h", URI: "/p/x", Path: "/p/x",
 			Header: http.Header{}, Received: clock.Now()})
-		require.LessOrEqual(t, s.ran(), 1)
+		require.LessOrEqual(t, s.startedCount(), 1)
 		switch w.Code {
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-			require.Zero(t, s.ran(), "refused as not run, though it ran")
+			require.Zero(t, s.startedCount(), "rejected as not run, though it ran")
 		}
 	})
 }
 
-// FuzzReadEvents splits any bytes: what is handed on is a prefix of them and
-// ends at the end of an event.
+// FuzzReadEvents checks on any bytes that the events read are a prefix of the input that
+// ends with an event.
 func FuzzReadEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: x\n\nid: 2\nda"))
 	f.Add([]byte("\n\n\n\n"))
@@ -217,10 +213,10 @@
 		})
 		require.True(t, strings.HasPrefix(string(in), string(out)))
 		if err == nil {
-			require.Equal(t, string(in), string(out), "bytes were dropped and the end looks whole")
+			require.Equal(t, string(in), string(out), "bytes were dropped without an error")
 		}
 	})
 }
 
-// Probe finds nobody.
+// Probe fails.
 func (*modelSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
--- a/ingress/needs.go
+++ b/ingress/needs.go
@@ -8,74 +8,71 @@
 	"github.com/ragworthitch/ragworthitch/registry"
 )
 
-// hopeless reports whether the stream cannot end before its caller leaves,
-// though the best engine takes it.
-func (s *stream) hopeless(best *registry.Member) bool {
-	gap := s.job.gap(best, s.pace(), clock.Now())
-	return s.needs(best.Work().All().Prefill, gap).Hopeless()
+// cannotEndInTime reports whether the stream cannot end before its caller's timeout, even
+// at the best engine.
+func (s *stream) cannotEndInTime(best *registry.Member) bool {
+	interval := s.activeCall.interval(best, s.pace(), clock.Now())
+	return s.admission(best.Work().All().Prefill, interval).Hopeless()
 }
 
-// likely is how long the stream is likely to take at an idle engine.
-func (s *stream) likely() time.Duration { return s.needs(0, 0).Likely() }
+// likelyDuration returns how long the stream usually takes at an idle engine.
+func (s *stream) likelyDuration() time.Duration { return s.admission(0, 0).Likely() }
 
-// needs is what is known of the stream's length, behind a backlog of prompts at
-// an engine with a gap between events.
-func (s *stream) needs(backlog int, gap time.Duration) admit.Stream {
-	prompt := s.c.Prompt
-	if s.c.After != "" {
-		prompt = 0 // its home may have it still
+// admission returns the stream's figures for admission, behind a backlog of prefill tokens
+// at an engine with the given event interval.
+func (s *stream) admission(backlog int, interval time.Duration) admit.Stream {
+	prompt := s.call.Prompt
+	if s.call.After != "" {
+		prompt = 0 // the prefix may still be cached
 	}
-	return admit.Stream{Pace: s.pace(), Gap: gap, Left: s.left(clock.Now()), Prompt: prompt, Backlog: backlog, Output: s.c.Output, Stride: s.stride(), After: s.last}
+	return admit.Stream{Pace: s.pace(), Gap: interval, Left: s.remaining(clock.Now()), Prompt: prompt, Backlog: backlog, Output: s.call.Output, Stride: s.tokensPerEvent(), After: s.lastID}
 }
 
-// rank is the stream's place among others at a busy engine. A returned stream
-// whose prompt the engine has kept needs but its own events read, some 0.1 s,
-// and then goes on within the pause that its caller allows; any other has
-// paused for too long already. So has one that will be late though m is the best
-// engine there is: it yields to streams that can still be in time. Where more
-// come than can be read in time, all would be late otherwise, one behind the
-// other.
+// rank returns the priority of the stream's next attempt at m. A stream of which the
+// caller has a part comes first if it can resume soon. A resumed stream whose prefix is
+// not cached is late already, and so is one that is late even at the best engine m: both
+// yield to streams that can still be in time. Otherwise, under overload, every stream
+// would be late.
 func (s *stream) rank(m *registry.Member) Rank {
-	if s.begun || s.kept(m) {
+	if s.headSent || s.prefixCached(m) {
 		return RankFirst
 	}
 	now, p := clock.Now(), s.pace()
-	if s.c.After != "" || s.late(m.Work().All(), s.job.gap(m, p, now), p, now) {
+	if s.call.After != "" || s.firstEventLate(m.Work().All(), s.activeCall.interval(m, p, now), p, now) {
 		return RankLast
 	}
 	return RankUsual
 }
 
-// kept reports whether the stream was broken off, and m is remembered as the
-// engine that had its prompt read.
-func (s *stream) kept(m *registry.Member) bool {
-	if s.c.After == "" {
+// prefixCached reports whether the caller resumes the stream and m is known to hold its
+// cached prefix.
+func (s *stream) prefixCached(m *registry.Member) bool {
+	if s.call.After == "" {
 		return false
 	}
-	b, ok := s.h.recall.Where(s.c.Subject, clock.Now())
-	return ok && b == m.Target().Boot()
+	boot, ok := s.h.cacheLocations.Where(s.call.Subject, clock.Now())
+	return ok && boot == m.Target().Boot()
 }
 
-// toRead is how many tokens m has to read for the stream's next run: nothing
-// but a little if it goes on from a copy, and else the events so far, with the
-// prompt unless m has kept it.
-func (s *stream) toRead(m, from *registry.Member) int {
-	if from != nil {
+// prefillTokens returns how many tokens m has to prefill for the next attempt: none with a
+// replica, otherwise the events so far, and the prompt unless its prefix is cached.
+func (s *stream) prefillTokens(m, replica *registry.Member) int {
+	if replica != nil {
 		return 0
 	}
-	made := int(s.last) * s.stride()
-	if s.kept(m) {
-		return made
+	generated := int(s.lastID) * s.tokensPerEvent()
+	if s.prefixCached(m) {
+		return generated
 	}
-	return s.c.Prompt + made
+	return s.call.Prompt + generated
 }
 
-// size is the memory that the stream takes at an engine when it is done, in
-// tokens: its prompt and an answer of the usual share of what it may generate.
-func (s *stream) size() int {
+// kvTokens returns the tokens that the stream is expected to hold in an engine's KV cache
+// at its end.
+func (s *stream) kvTokens() int {
 	share := s.pace().Length
 	if share == 0 {
 		share = 1
 	}
-	return s.c.Prompt + int(share*float64(s.c.Output))
+	return s.call.Prompt + int(share*float64(s.call.Output))
 }
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -17,215 +17,209 @@
 )
 
 const (
-	// maxDials bounds the targets that are dialled for one call; each failed
-	// attempt takes up to upstream.DialTimeout.
+	// maxDials limits the targets that are dialled for one call, since each dial may take
+	// upstream.DialTimeout.
 	maxDials = 4
-	// hedgeShare is the part of the expected response time after which a
-	// safe call that has had no answer is sent to a second target as well:
-	// late enough that few healthy answers are still under way, early
-	// enough that the second answer can be in time.
-	hedgeShare = 0.6
-	// minHedge keeps hedging off where the expected time is tiny.
-	minHedge = 40 * time.Millisecond
-	// maxAnswer bounds a buffered answer; plain services answer in a few kB.
-	maxAnswer = 8 << 20
-	// hungAfter is how long a target that has sent nothing may have had a
-	// call that was given up before that counts against it: some 10 times a
-	// plain service's work.
+	// hedgeDelayShare of the latency objective is the time after which a safe call without
+	// an answer is also sent to a second target, whose answer can still be in time.
+	hedgeDelayShare = 0.6
+	// minHedgeDelay prevents hedging of every call on routes with a very low objective.
+	minHedgeDelay  = 40 * time.Millisecond
+	maxAnswerBytes = 8 << 20
+	// hungAfter is the time without an answer after which a call that was cancelled counts
+	// as a failure of its target.
 	hungAfter = 400 * time.Millisecond
 )
 
-// errTooLarge means that a plain service's answer is over maxAnswer.
-var errTooLarge = errors.New("ingress: answer too large")
+var errAnswerTooLarge = errors.New("ingress: answer is larger than 8 MiB")
 
-// try is the outcome of one order of a plain call.
-type try struct {
-	m     *registry.Member
-	reply *Reply
-	body  []byte
-	err   error
+// attemptResult is the result of one attempt of a plain call.
+type attemptResult struct {
+	member *registry.Member
+	reply  *Reply
+	body   []byte
+	err    error
 }
 
-// plain serves a call of a plain service. The answer is read whole before
-// any of it is passed on, so that one that ends early is never passed on.
-func (j *job) plain(ctx context.Context) {
+// servePlain serves a call of a plain service. It reads the whole answer before it sends
+// any of it, so that a truncated answer never reaches the caller.
+func (c *activeCall) servePlain(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the orders that lost the race
-	safe := j.g.Route.Kind() == ragworthitch.CallSafe
-	tries := make(chan try, maxDials+j.g.Route.MaxTargets())
+	defer cancel() // ends the other attempts
+	safe := c.grant.Route.Kind() == ragworthitch.CallSafe
+	results := make(chan attemptResult, maxDials+c.grant.Route.MaxTargets())
 	pending, dials := 0, 0
-	launch := func() bool {
+	startAttempt := func() bool {
 		if dials >= maxDials {
 			return false
 		}
-		m := j.pickPlain(clock.Now())
-		if m == nil || !j.again(ctx) {
+		m := c.pickPlain(clock.Now())
+		if m == nil || !c.mayRetry(ctx) {
 			return false
 		}
 		dials++
 		pending++
-		j.h.rollouts.Sent(j.service(), m.Target().Version(), j.lane, j.sends > 0)
-		j.sends++
-		j.tried.add(m)
-		go func() { tries <- j.guardedOrder(ctx, m) }()
+		c.h.rollouts.Sent(c.service(), m.Target().Version(), c.lane, c.attempts > 0)
+		c.attempts++
+		c.tried.add(m)
+		go func() { results <- c.sendPlainCatchingPanic(ctx, m) }()
 		return true
 	}
-	launch()
-	hedge := time.NewTimer(max(minHedge, time.Duration(hedgeShare*float64(j.g.Route.Target()))))
+	startAttempt()
+	hedge := time.NewTimer(max(minHedgeDelay, time.Duration(hedgeDelayShare*float64(c.grant.Route.Target()))))
 	defer hedge.Stop()
-	var last *try // a failure of a target's own, to be passed on if nothing better comes
+	var lastFailure *attemptResult // an answer with an error status, sent to the caller if no attempt succeeds
 	var cause error
 	for pending > 0 {
 		select {
-		case t := <-tries:
+		case result := <-results:
 			pending--
-			if j.settled(t) {
+			if c.deliver(result) {
 				return
 			}
 			switch {
-			case t.err != nil:
-				cause = t.err
-			case !t.reply.refused():
-				last = &t
+			case result.err != nil:
+				cause = result.err
+			case !result.reply.notRun():
+				lastFailure = &result
 			}
-			if v, ok := j.condemned(); ok {
-				j.condemn(v)
+			if v, ok := c.quarantined(); ok {
+				c.answerQuarantined(v)
 				return
 			}
-			if j.mayRun && !safe {
-				break // it may run once only
+			if c.mayHaveRun && !safe {
+				break // an unsafe call runs at most once
 			}
-			launch()
+			startAttempt()
 		case <-hedge.C:
-			if safe && pending > 0 && launch() {
-				j.h.stats.hedged.Inc(1)
+			if safe && pending > 0 && startAttempt() {
+				c.h.stats.hedged.Inc(1)
 			}
 		case <-ctx.Done():
-			for ; pending > 0; pending-- { // they end with ctx
-				if j.settled(<-tries) {
+			for ; pending > 0; pending-- { // the attempts end with ctx
+				if c.deliver(<-results) {
 					return
 				}
 			}
-			j.giveUp(ctx)
+			c.failExpired(ctx)
 			return
 		}
 	}
-	if last != nil {
-		j.log(last.reply.Status, "target failed the call", nil)
-		j.write(last)
+	if lastFailure != nil {
+		c.logFailure(lastFailure.reply.Status, "target failed the call", nil)
+		c.writeAnswer(lastFailure)
 		return
 	}
-	j.fail(http.StatusBadGateway, "no target answered", cause)
+	c.fail(http.StatusBadGateway, "no target answered", cause)
 }
 
-// settled notes what a try says of its target, and passes its answer on if
-// it is one.
-func (j *job) settled(t try) bool {
+// deliver records the result of an attempt. It sends a successful answer to the caller and
+// reports whether it did.
+func (c *activeCall) deliver(result attemptResult) bool {
 	switch {
-	case t.err != nil && errors.Is(t.err, upstream.ErrNotSent):
-		j.unsent()
+	case result.err != nil && errors.Is(result.err, upstream.ErrNotSent):
+		c.attemptNotSent()
 		return false
-	case t.err != nil:
-		j.mayRun = true
+	case result.err != nil:
+		c.mayHaveRun = true
 		return false
-	case t.reply.refused():
+	case result.reply.notRun():
 		return false
 	}
-	j.mayRun = true
-	j.ranWell()
-	if t.reply.failure() {
+	c.mayHaveRun = true
+	c.recordSuccess()
+	if result.reply.isFailure() {
 		return false
 	}
-	j.answered(t.m, t.reply.Status)
-	j.h.stats.plainTime.Record(clock.Now().Sub(j.c.Received))
-	j.write(&t)
+	c.recordAnswer(result.member, result.reply.Status)
+	c.h.stats.plainTime.Record(clock.Now().Sub(c.call.Received))
+	c.writeAnswer(&result)
 	return true
 }
 
-// guardedOrder is order, and an error if that panics.
-func (j *job) guardedOrder(ctx context.Context, m *registry.Member) try {
-	t := try{m: m}
-	if err := j.h.guarded(j.c.ID, func() { t = j.order(ctx, m) }); err != nil {
-		t.err = err
+// sendPlainCatchingPanic is like sendPlain and returns a panic as an error.
+func (c *activeCall) sendPlainCatchingPanic(ctx context.Context, m *registry.Member) attemptResult {
+	result := attemptResult{member: m}
+	if err := c.h.catchPanic(c.call.ID, func() { result = c.sendPlain(ctx, m) }); err != nil {
+		result.err = err
 	}
-	return t
+	return result
 }
 
-// order sends the call to m and reads the whole answer. It ends with the
-// target's boot.
-func (j *job) order(parent context.Context, m *registry.Member) try {
-	begun := clock.Now()
+// sendPlain sends the call to m and reads the whole answer. The attempt is cancelled when
+// the target's boot ends.
+func (c *activeCall) sendPlain(parent context.Context, m *registry.Member) attemptResult {
+	startedAt := clock.Now()
 	_, end := m.Work().Begin(0, 0)
 	defer end()
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	sent := time.Now()
+	sentWallTime := time.Now()
 	defer context.AfterFunc(m.Life(), func() {
-		if m.Lost(sent) {
+		if m.Lost(sentWallTime) {
 			cancel()
 		}
 	})()
-	t := try{m: m}
-	o := &Order{Call: j.c, Target: m.Target(), Member: m, Org: j.g.Org, Left: j.left(begun)}
-	t.reply, t.err = j.h.send.Send(ctx, o)
-	if t.err == nil {
-		t.body, t.err = readWhole(t.reply.Body)
+	result := attemptResult{member: m}
+	o := &Order{Call: c.call, Target: m.Target(), Member: m, Org: c.grant.Org, Left: c.remaining(startedAt)}
+	result.reply, result.err = c.h.sender.Send(ctx, o)
+	if result.err == nil {
+		result.body, result.err = readBody(result.reply.Body)
 	}
-	j.observe(parent, t, begun)
-	return t
+	c.recordHealth(parent, result, startedAt)
+	return result
 }
 
-// observe notes what a try says of its target's health.
-func (j *job) observe(ctx context.Context, t try, begun clock.Time) {
+// recordHealth records what the result of an attempt says about its target's health.
+func (c *activeCall) recordHealth(ctx context.Context, result attemptResult, startedAt clock.Time) {
 	now := clock.Now()
-	took := now.Sub(begun)
+	took := now.Sub(startedAt)
 	switch {
-	case t.err != nil && ctx.Err() != nil:
+	case result.err != nil && ctx.Err() != nil:
 		if took > hungAfter {
-			t.m.Health().Answered(now, took, true)
+			result.member.Health().Answered(now, took, true)
 		}
-	case errors.Is(t.err, upstream.ErrNotSent):
-		j.failed(t.m, health.CauseRefused, t.err)
-	case t.err != nil:
-		t.m.Health().Answered(now, took, true)
-		go j.inquire(t.m, begun)
-		j.judgePlain(t, begun, took)
-		j.h.log.Warn().Str("request", j.c.ID).Stringer("fingerprint", j.print).Str("target", t.m.Target().ID()).Dur("after", took).Err(t.err).Msg("ingress: no whole answer")
-	case t.reply.Elsewhere:
-		j.elsewhere(t.m)
+	case errors.Is(result.err, upstream.ErrNotSent):
+		c.eject(result.member, health.CauseRefused, result.err)
+	case result.err != nil:
+		result.member.Health().Answered(now, took, true)
+		go c.investigatePlainLoss(result.member, startedAt)
+		c.recordPlainSymptoms(result, startedAt, took)
+		c.h.log.Warn().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("target", result.member.Target().ID()).Dur("after", took).Err(result.err).Msg("ingress: target sent no complete answer")
+	case result.reply.Elsewhere:
+		c.dropStaleEntry(result.member)
 	default:
-		t.m.Health().Answered(now, took, t.reply.failure())
-		j.judgePlain(t, begun, took)
+		result.member.Health().Answered(now, took, result.reply.isFailure())
+		c.recordPlainSymptoms(result, startedAt, took)
 	}
 }
 
-// giveUp answers a call whose time is over. If its caller is gone nobody
-// reads the answer.
-func (j *job) giveUp(ctx context.Context) {
+// failExpired answers a call whose deadline has passed or whose caller has disconnected.
+func (c *activeCall) failExpired(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		j.abandoned()
+		c.abandon()
 	}
-	j.fail(http.StatusGatewayTimeout, "out of time", ctx.Err())
+	c.fail(http.StatusGatewayTimeout, "deadline exceeded", ctx.Err())
 }
 
-// write passes a whole answer on.
-func (j *job) write(t *try) {
-	passOn(j.w, t.reply)
-	j.w.Header().Set("Content-Length", strconv.Itoa(len(t.body)))
-	j.w.WriteHeader(t.reply.Status)
-	if _, err := j.w.Write(t.body); err != nil {
-		j.h.log.Info().Str("request", j.c.ID).Err(err).Msg("ingress: caller left before its answer")
+// writeAnswer sends a whole answer to the caller.
+func (c *activeCall) writeAnswer(result *attemptResult) {
+	copyHead(c.w, result.reply)
+	c.w.Header().Set("Content-Length", strconv.Itoa(len(result.body)))
+	c.w.WriteHeader(result.reply.Status)
+	if _, err := c.w.Write(result.body); err != nil {
+		c.h.log.Info().Str("request", c.call.ID).Err(err).Msg("ingress: caller disconnected before the answer was written")
 	}
 }
 
-func readWhole(r io.ReadCloser) ([]byte, error) {
+func readBody(r io.ReadCloser) ([]byte, error) {
 	defer r.Close()
-	b, err := io.ReadAll(io.LimitReader(r, maxAnswer+1))
+	b, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", upstream.ErrSent, err)
 	}
-	if len(b) > maxAnswer {
-		return nil, fmt.Errorf("%w: %w", upstream.ErrSent, errTooLarge)
+	if len(b) > maxAnswerBytes {
+		return nil, fmt.Errorf("%w: %w", upstream.ErrSent, errAnswerTooLarge)
 	}
 	return b, nil
 }
--- a/ingress/return_test.go
+++ b/ingress/return_test.go
@@ -16,49 +16,45 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// orderSender notes where orders go and answers each with a whole stream.
-type orderSender struct{ addrs []string }
+// addressSender records the addresses of orders and answers each with a complete stream.
+type addressSender struct{ addresses []string }
 
-// Send answers one order.
-func (s *orderSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	s.addrs = append(s.addrs, o.Target.Address())
+func (s *addressSender) Send(_ context.Context, o *Order) (*Reply, error) {
+	s.addresses = append(s.addresses, o.Target.Address())
 	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 8\ndata: x\n\n")}, nil
 }
 
-// The load: connections of many callers are reset at once and their streams
-// come back, to any entry, within moments. Each goes to the engine that had
-// it, whichever entry remembers or was told, as long as that engine's queue is
-// short of two prompts; a stream that is not remembered goes to its home. With
-// 0.9 of all connections reset four times in half a minute, 33 of 142 streams
-// were late before and 7 since.
-func TestReturnedStreamFindsItsPrompt(t *testing.T) {
-	s := &orderSender{}
+// A resumed stream goes to the engine with its cached prefix, as any instance learns it
+// from peers, unless that engine has a long backlog. Without a known cache location every
+// instance prefers the same target.
+func TestResumedStreamUsesCachedPrefix(t *testing.T) {
+	s := &addressSender{}
 	h := modelHandler(t, s, ragworthitch.CallStream)
 	for i := range modelTargets {
 		addr := fmt.Sprintf("127.0.0.1:%d", 1+i)
 		subject := fmt.Sprint("subject-", i)
-		h.recall.Heard(recall.Place{Subject: subject, Engine: h.targets.At(addr).Target().Boot()}, clock.Now())
-		serve(h, returned(subject))
-		assert.Equal(t, addr, s.addrs[len(s.addrs)-1])
+		h.cacheLocations.Heard(recall.Place{Subject: subject, Engine: h.targets.At(addr).Target().Boot()}, clock.Now())
+		serve(h, resumedCall(subject))
+		assert.Equal(t, addr, s.addresses[len(s.addresses)-1])
 	}
 
 	busy := h.targets.At("127.0.0.1:2")
 	require.NotNil(t, busy)
 	busy.Work().Begin(24000, 30000)
-	serve(h, returned("subject-1"))
-	assert.NotEqual(t, "127.0.0.1:2", s.addrs[len(s.addrs)-1], "waited behind three prompts")
-
-	serve(h, returned("never seen"))
-	first := s.addrs[len(s.addrs)-1]
-	h.recall = &recall.Recall{} // another entry, which remembers nothing
-	serve(h, returned("never seen"))
-	assert.Equal(t, first, s.addrs[len(s.addrs)-1], "two entries know different homes")
+	serve(h, resumedCall("subject-1"))
+	assert.NotEqual(t, "127.0.0.1:2", s.addresses[len(s.addresses)-1], "queued behind a long backlog")
+
+	serve(h, resumedCall("never seen"))
+	first := s.addresses[len(s.addresses)-1]
+	h.cacheLocations = &recall.Recall{} // another instance, without cache locations
+	serve(h, resumedCall("never seen"))
+	assert.Equal(t, first, s.addresses[len(s.addresses)-1], "two instances prefer different targets")
 }
 
-func returned(subject string) *Call {
+func resumedCall(subject string) *Call {
 	return &Call{ID: "call", Method: "POST", Host: "h", URI: "/p/x", Path: "/p/x", Header: http.Header{}, After: "7",
 		Prompt: 8000, Output: 1000, Subject: subject, Received: clock.Now()}
 }
 
-// Probe finds nobody.
-func (*orderSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// Probe fails.
+func (*addressSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
--- a/ingress/run.go
+++ b/ingress/run.go
@@ -15,194 +15,193 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// pendingEvents is how many events are read ahead of a slow caller.
-const pendingEvents = 64
+// eventQueueSize is how many events are read ahead of a slow caller.
+const eventQueueSize = 64
 
 type (
-	// run is one sending of a stream to one target.
-	run struct {
-		s       *stream
-		m, from *registry.Member // from: it goes on from the copy there
-		begun   clock.Time
-		sentAt  time.Time     // by the time of day, as targets tell their start
-		heard   clock.Time    // last sign of life of this run
-		probed  clock.Time    // when its target was last asked for a connection
-		gap     time.Duration // the pause that callers expect
-		rank    Rank          // at its target
-		prompt  int           // tokens that had to be read for it
-		anew    bool          // it is its stream's first, from the beginning
-		backlog int           // tokens that had to be read before, when it was sent
-		// expectedAtSend is how long the first event was expected to take at the usual
-		// speed of its service; 0 if that was not known.
+	// attempt is one send of a stream to one target.
+	attempt struct {
+		s                 *stream
+		member, replica   *registry.Member // replica: the replica target it resumes from; nil: none
+		startedAt         clock.Time
+		sentWallTime      time.Time     // wall clock, as in the start times that targets report
+		lastActivityAt    clock.Time    // when something was last received
+		connCheckedAt     clock.Time    // when the connection to the target was last checked
+		intervalObjective time.Duration // objective of the route
+		rank              Rank          // priority at the target
+		prefillTokens     int           // tokens to prefill for this attempt
+		fromStart         bool          // it neither resumes the stream nor uses a replica
+		prefillBacklog    int           // tokens to prefill before it at the target when it was sent
+		// expectedAtSend is the time to first event expected from the service's usual
+		// speed; 0 if unknown.
 		expectedAtSend time.Duration
-		started        func()     // to be called at the first event
-		first          clock.Time // when its first event was read
-		last           clock.Time // when its last event was read
-		late           bool       // that event came late against the one before, as after a lost packet
-		news           chan news
-		asked          chan asked
-		sent           chan error // how sending the order ended, once
+		prefillDone    func()     // removes prefillTokens from the target's load
+		firstEventAt   clock.Time // 0: none yet
+		lastEventAt    clock.Time // 0: none yet
+		lastEventLate  bool       // the last event was late, as after a lost packet
+		results        chan readResult
+		connFailures   chan connFailure
+		sendResult     chan error // result of Sender.Send, sent once
 		events         int
-		fresh          int // numbered events that the caller did not have yet
-		// answered: the answer's head has come. Engines send it when they
-		// begin to generate.
-		answered   bool
-		answeredAt clock.Time
-		gone       bool // its target was found lost, and nothing has come since
-		kept       bool // it is kept as there is no repeat to go on with
-		calmest    calmest
-		judged     bool // its first events have been noted of its target's version
-		failed     bool // and so has that it failed
+		newEvents      int // numbered events that the caller did not have yet
+		// headReceived is set with the head of the answer, which engines send when they
+		// start to generate.
+		headReceived     bool
+		headReceivedAt   clock.Time
+		targetLost       bool // the target was found lost, and nothing has been received since
+		overBudgetLogged bool // it has been logged that the retry budget allows no failover
+		decodeIntervals  decodeIntervals
+		speedRecorded    bool // the speed of the target's version has been recorded
+		failureRecorded  bool // a failure of the target's version has been recorded
 	}
 
-	// news is what a run's reader reports: a head, an event or an end.
-	news struct {
-		reply *Reply
-		ev    Event
-		at    clock.Time // when the event was read
-		err   error
-		end   bool
+	// readResult is what the reader goroutine receives: a head, an event or the end.
+	readResult struct {
+		reply  *Reply
+		event  Event
+		readAt clock.Time // when the event was read
+		err    error
+		end    bool
 	}
 )
 
 var (
-	errLost   = errors.New("ingress: target lost")
-	errSilent = errors.New("ingress: target silent")
-	errEnded  = errors.New("ingress: target's boot has ended")
+	errTargetLost   = errors.New("ingress: target lost")
+	errTargetSilent = errors.New("ingress: target silent")
+	errBootEnded    = errors.New("ingress: target's boot has ended")
 )
 
-// read sends the order and reports what comes back.
-func (r *run) read(ctx context.Context, o *Order) {
-	tell := func(n news) bool {
+// read sends the attempt and passes on what is received.
+func (a *attempt) read(ctx context.Context, o *Order) {
+	emitResult := func(result readResult) bool {
 		select {
-		case r.news <- n:
+		case a.results <- result:
 			return true
 		case <-ctx.Done():
 			return false
 		}
 	}
-	if err := r.s.h.guarded(r.s.c.ID, func() { r.receive(ctx, o, tell) }); err != nil {
+	if err := a.s.h.catchPanic(a.s.call.ID, func() { a.receive(ctx, o, emitResult) }); err != nil {
 		select {
-		case r.sent <- err:
-		default: // how the sending ended is known
+		case a.sendResult <- err:
+		default: // the result is there already
 		}
-		tell(news{err: err, end: true})
+		emitResult(readResult{err: err, end: true})
 	}
 }
 
-// receive sends the order and hands what comes back to tell.
-func (r *run) receive(ctx context.Context, o *Order, tell func(news) bool) {
-	reply, err := r.s.h.send.Send(ctx, o)
-	r.sent <- err
+// receive sends the attempt and passes what is received to emitResult.
+func (a *attempt) receive(ctx context.Context, o *Order, emitResult func(readResult) bool) {
+	reply, err := a.s.h.sender.Send(ctx, o)
+	a.sendResult <- err
 	if err != nil {
-		tell(news{err: err, end: true})
+		emitResult(readResult{err: err, end: true})
 		return
 	}
 	defer reply.Body.Close()
 	if reply.Status != http.StatusOK {
-		body, err := readWhole(reply.Body)
-		tell(news{reply: reply, ev: Event{Raw: body}, err: err, end: true})
+		body, err := readBody(reply.Body)
+		emitResult(readResult{reply: reply, event: Event{Raw: body}, err: err, end: true})
 		return
 	}
-	if !tell(news{reply: reply}) {
+	if !emitResult(readResult{reply: reply}) {
 		return
 	}
-	err = reply.events(func(e Event) bool { return tell(news{ev: e, at: clock.Now()}) })
-	tell(news{err: err, end: true})
+	err = reply.events(func(e Event) bool { return emitResult(readResult{event: e, readAt: clock.Now()}) })
+	emitResult(readResult{err: err, end: true})
 }
 
-// generated is for how long the run's engine has generated, as far as was seen.
-func (r *run) generated(now clock.Time) time.Duration {
-	if !r.answered {
+// generationTime returns the time since the engine sent the head of its answer.
+func (a *attempt) generationTime(now clock.Time) time.Duration {
+	if !a.headReceived {
 		return 0
 	}
-	return now.Sub(r.answeredAt)
+	return now.Sub(a.headReceivedAt)
 }
 
-// settle makes sure of how a run that was given up, its context cancelled, has
-// ended: an order that had not left yet, because its target was still being
-// connected to, has not run.
-func (r *run) settle(err error) error {
-	if err == nil || r.answered || errors.Is(err, upstream.ErrNotSent) {
+// resolveSendError returns err. If the attempt was cancelled while its connection was
+// still being opened, the call has not run, and the result also wraps ErrNotSent.
+func (a *attempt) resolveSendError(err error) error {
+	if err == nil || a.headReceived || errors.Is(err, upstream.ErrNotSent) {
 		return err
 	}
-	if sent := <-r.sent; errors.Is(sent, upstream.ErrNotSent) {
-		r.s.unsent()
+	if sendErr := <-a.sendResult; errors.Is(sendErr, upstream.ErrNotSent) {
+		a.s.attemptNotSent()
 		return fmt.Errorf("%w: %w", upstream.ErrNotSent, err)
 	}
 	return err
 }
 
-// watch passes events on until the run ends, or its target falls silent.
-func (r *run) watch(ctx context.Context) error {
-	s := r.s
-	lost, ended := r.m.Health().Lost(), r.m.Life().Done()
-	condemned, forget := s.h.crashes.Await(s.print)
-	defer forget()
-	if s.trial {
-		condemned = nil
+// watch forwards events until the attempt ends or its target is lost or silent.
+func (a *attempt) watch(ctx context.Context) error {
+	s := a.s
+	lost, bootEnded := a.member.Health().Lost(), a.member.Life().Done()
+	quarantined, stopWaiting := s.h.poisonTracker.Await(s.print)
+	defer stopWaiting()
+	if s.isProbe {
+		quarantined = nil
 	}
-	set := clock.Now()
-	wait := r.calm(set)
+	timerSetAt := clock.Now()
+	wait := a.decodeConnCheckAfter(timerSetAt)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	if !r.movable() {
+	if !a.canFailOver() {
 		lost = nil
 		timer.Stop()
 	}
 	var head *Reply
 	for {
 		select {
-		case n := <-r.news:
+		case result := <-a.results:
 			now := clock.Now()
-			r.heard, r.gone = now, false
-			if n.reply != nil {
-				head = n.reply
-				r.answered, r.answeredAt = true, now
+			a.lastActivityAt, a.targetLost = now, false
+			if result.reply != nil {
+				head = result.reply
+				a.headReceived, a.headReceivedAt = true, now
 			}
-			if n.end {
-				return r.ended(ctx, head, n)
+			if result.end {
+				return a.finish(ctx, head, result)
 			}
-			if n.ev.Raw != nil {
-				r.m.Health().Heard(n.at)
-				r.observe(n.at)
-				r.judge()
-				if err := r.pass(head, n.ev); err != nil {
+			if result.event.Raw != nil {
+				a.member.Health().Heard(result.readAt)
+				a.observeEvent(result.readAt)
+				a.recordSpeed()
+				if err := a.forward(head, result.event); err != nil {
 					return err
 				}
 			}
-		case a := <-r.asked:
-			if a.at > r.heard {
-				s.failed(r.m, health.CauseSilent, a.err)
+		case failure := <-a.connFailures:
+			if failure.checkedAt > a.lastActivityAt {
+				s.eject(a.member, health.CauseSilent, failure.err)
 			}
 		case <-lost:
 			now := clock.Now()
-			if r.mayLeave(ctx, now) {
-				return errLost
+			if a.hasRetry(ctx, now) {
+				return errTargetLost
 			}
-			lost, r.gone = nil, true
-			wait, set = checkEvery, now
+			lost, a.targetLost = nil, true
+			wait, timerSetAt = silenceCheckInterval, now
 			timer.Reset(wait)
-		case <-condemned:
-			if !r.answered {
-				return errCondemned
+		case <-quarantined:
+			if !a.headReceived {
+				return errQuarantined
 			}
-			condemned = nil // it has begun: how that ends decides
-		case <-ended:
-			if r.m.Lost(r.sentAt) {
-				return errEnded
+			quarantined = nil // the result of this attempt decides
+		case <-bootEnded:
+			if a.member.Lost(a.sentWallTime) {
+				return errBootEnded
 			}
-			ended = nil // it runs at the next boot
+			bootEnded = nil // the target's next boot has the attempt
 		case <-timer.C:
 			now := clock.Now()
-			if overslept(wait, now.Sub(set)) {
-				r.heard = now
+			if timerOverran(wait, now.Sub(timerSetAt)) {
+				a.lastActivityAt = now
 			}
-			quiet := now.Sub(r.heard)
-			if r.check(ctx, quiet) {
-				return errSilent
+			silence := now.Sub(a.lastActivityAt)
+			if a.checkSilence(ctx, silence) {
+				return errTargetSilent
 			}
-			wait, set = r.nextCheck(quiet), now
+			wait, timerSetAt = a.nextSilenceCheck(silence), now
 			timer.Reset(wait)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -210,101 +209,100 @@
 	}
 }
 
-// pass hands one event to the caller.
-func (r *run) pass(head *Reply, e Event) error {
-	s := r.s
-	if r.events == 0 {
-		r.started()
+// forward sends an event to the caller.
+func (a *attempt) forward(head *Reply, event Event) error {
+	s := a.s
+	if a.events == 0 {
+		a.prefillDone()
 	}
-	r.events++
-	s.made++
-	if !poison.Young(s.made) {
-		s.ranWell()
+	a.events++
+	s.totalEvents++
+	if !poison.Young(s.totalEvents) {
+		s.recordSuccess()
 	}
-	s.copied = true
-	if e.ID != 0 {
-		if e.ID <= s.last {
-			return nil // the caller has it
+	s.replicaStarted = true
+	if event.ID != 0 {
+		if event.ID <= s.lastID {
+			return nil // the caller has the event
 		}
-		if !s.follows(e.ID, r.fresh == 0) {
+		if !s.isNextID(event.ID, a.newEvents == 0) {
 			return errEventGap
 		}
-		r.fresh++
+		a.newEvents++
 	}
-	if !s.begun {
-		s.begin(head)
-		s.h.stats.firstEvent.Record(clock.Now().Sub(s.c.Received))
+	if !s.headSent {
+		s.sendHead(head)
+		s.h.stats.firstEvent.Record(clock.Now().Sub(s.call.Received))
 	}
-	if _, err := s.w.Write(e.Raw); err != nil {
+	if _, err := s.w.Write(event.Raw); err != nil {
 		return err
 	}
 	if err := http.NewResponseController(s.w).Flush(); err != nil {
 		return err
 	}
-	if e.ID != 0 {
-		s.last = e.ID
+	if event.ID != 0 {
+		s.lastID = event.ID
 	}
-	if s.cutAt != 0 {
-		s.resumed(r)
+	if s.interruptedAt != 0 {
+		s.recordFailover(a)
 	}
 	return nil
 }
 
-// ended settles a run that has ended by itself.
-func (r *run) ended(ctx context.Context, head *Reply, n news) error {
-	s, now := r.s, clock.Now()
+// finish handles the end of an attempt that was not cancelled.
+func (a *attempt) finish(ctx context.Context, head *Reply, result readResult) error {
+	s, now := a.s, clock.Now()
 	switch {
-	case n.err != nil && errors.Is(n.err, upstream.ErrNotSent):
-		s.unsent()
+	case result.err != nil && errors.Is(result.err, upstream.ErrNotSent):
+		s.attemptNotSent()
 		if ctx.Err() == nil {
-			s.failed(r.m, health.CauseRefused, n.err)
+			s.eject(a.member, health.CauseRefused, result.err)
 		}
-		return n.err
-	case n.err != nil:
-		s.mayRun = true
-		if ctx.Err() == nil && !errors.Is(n.err, errPanicked) {
-			s.suspect(r.m)
+		return result.err
+	case result.err != nil:
+		s.mayHaveRun = true
+		if ctx.Err() == nil && !errors.Is(result.err, errPanic) {
+			s.checkAfterReset(a.member)
 		}
-		return n.err
+		return result.err
 	case head.Elsewhere:
-		s.elsewhere(r.m)
+		s.dropStaleEntry(a.member)
 		return upstream.ErrNotSent
 	case head.NotRun:
-		r.m.Health().Answered(now, 0, true)
-		s.saw(r.m, rollout.Failing, true)
+		a.member.Health().Answered(now, 0, true)
+		s.recordSymptom(a.member, rollout.Failing, true)
 		return upstream.ErrNotSent
 	case head.Status != http.StatusOK:
-		return r.answeredOtherwise(head, n.ev.Raw)
+		return a.finishWithoutStream(head, result.event.Raw)
 	}
-	s.mayRun = true
-	if !head.Sized && s.last == 0 {
+	s.mayHaveRun = true
+	if !head.Sized && s.lastID == 0 {
 		return upstream.ErrSent
 	}
-	if !s.begun {
-		// The caller has every event already: the target's empty answer is
-		// the whole one.
-		s.begin(head)
+	if !s.headSent {
+		// The caller has all events, and the target has none to add.
+		s.sendHead(head)
 	}
-	s.h.paces.Of(s.service()).Ended(s.last, s.needs(0, 0).Most(), r.last.Sub(r.first), r.events)
+	s.h.paces.Of(s.service()).Ended(s.lastID, s.admission(0, 0).Most(), a.lastEventAt.Sub(a.firstEventAt), a.events)
 	return nil
 }
 
-// answeredOtherwise settles an answer that is no stream: a failure may be
-// better elsewhere, the rest is passed on.
-func (r *run) answeredOtherwise(head *Reply, body []byte) error {
-	s := r.s
-	s.mayRun = true
-	s.ranWell()
-	r.m.Health().Answered(clock.Now(), 0, head.failure())
-	s.saw(r.m, rollout.Failing, head.failure())
-	r.failed = true
-	if s.begun {
+// finishWithoutStream handles an answer that is not a stream. A failure may be retried at
+// another target; any other answer is forwarded.
+func (a *attempt) finishWithoutStream(head *Reply, body []byte) error {
+	s := a.s
+	s.mayHaveRun = true
+	s.recordSuccess()
+	a.member.Health().Answered(clock.Now(), 0, head.isFailure())
+	s.recordSymptom(a.member, rollout.Failing, head.isFailure())
+	a.failureRecorded = true
+	if s.headSent {
 		return upstream.ErrSent
 	}
-	if head.failure() && s.g.Route.Idempotent() && s.sends < s.g.Route.MaxTargets() {
+	if head.isFailure() && s.grant.Route.Idempotent() && s.attempts < s.grant.Route.MaxTargets() {
 		return upstream.ErrSent
 	}
-	s.log(head.Status, "target answered without a stream", nil)
-	s.write(&try{m: r.m, reply: head, body: body})
+	s.logFailure(head.Status, "target answered without a stream", nil)
+	s.writeAnswer(&attemptResult{member: a.member, reply: head, body: body})
 	return nil
 }
--- a/ingress/run_test.go
+++ b/ingress/run_test.go
@@ -7,18 +7,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An instance that stood still for seconds does not take its own standstill
-// for its targets' silence.
-func TestOverslept(t *testing.T) {
+// An instance that was stalled itself does not take its targets for silent.
+func TestTimerOverran(t *testing.T) {
 	for _, tt := range []struct {
 		planned, actual time.Duration
 		want            bool
 	}{
 		{300 * time.Millisecond, 301 * time.Millisecond, false},
-		{50 * time.Millisecond, 250 * time.Millisecond, false}, // a busy machine
+		{50 * time.Millisecond, 250 * time.Millisecond, false}, // within the delay of a busy machine
 		{300 * time.Millisecond, 4300 * time.Millisecond, true},
 		{50 * time.Millisecond, 800 * time.Millisecond, true},
 	} {
-		assert.Equal(t, tt.want, overslept(tt.planned, tt.actual), "%v after %v", tt.actual, tt.planned)
+		assert.Equal(t, tt.want, timerOverran(tt.planned, tt.actual), "%v after %v", tt.actual, tt.planned)
 	}
 }
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -8,239 +8,227 @@
 )
 
 const (
-	// The pauses that callers expect between events bound how long a silent
-	// target is waited for; usualGap stands where the route does not say.
-	usualGap = 700 * time.Millisecond
-	// probeShare of that is the silence after which the target is asked for
-	// a connection while it reads a prompt: the events of streams beside it
-	// come every 280 ms then. Otherwise they come every 35 to 50 ms, and
-	// calmShare is enough: a target without power is known as lost after
-	// 300 ms, the 150 ms included in which its connection is waited for.
-	probeShare = 0.43
-	calmShare  = 0.21
-	// moveShare of it is the silence after which a stream with a copy moves
-	// though its target still takes connections: going on from a copy takes
-	// some 50 ms.
-	moveShare = 0.78
-	// firstProbeShare of it is the silence before the answer's head after
-	// which the target is asked for a connection; the head takes a second and
-	// more. Asking only when the head is overdue saves half of all new
-	// connections, but engines that go dark meanwhile are found later: the
-	// worst seconds of days were served 0.302 for 0.330, 0.312 for 0.327 and
-	// 0.375 for 0.384 at three deployments.
-	firstProbeShare = 0.86
-	// anewShare of it is how long a stream without a copy may pause: longer
-	// than an engine stops for a prompt beside it, so that its answer is
-	// broken. If the engine's memory is short (above fullMemory) it may have
-	// been stopped to be read in again, which takes seconds; moving it then
-	// only adds a second reading.
-	anewShare     = 1.7
-	anewFullShare = 5.7
-	fullMemory    = 0.8
-	// An engine that pauses for long with all its streams, because it reads
-	// or has turned slow, is neither asked nor left for a silence like those
-	// pauses: it is asked after askPauses of the longest of them and left
-	// after movePauses, or anewPauses without a copy.
-	askPauses  = 1.1
-	movePauses = 2
-	anewPauses = 4
-	// calmGaps is how many gaps between events a calm engine may be silent.
-	calmGaps = 3
-	// maxLate is how late a timer may fire on a busy machine.
-	maxLate = 250 * time.Millisecond
-	// An event that comes stallGaps usual gaps or more after the one before,
-	// with the next one at most bunchGaps behind it, has waited for a packet
-	// that was lost and sent again. Steps of an engine keep events a gap
-	// apart at least, and a packet is sent again after three more have come
-	// or 200 ms.
-	stallGaps = 2.5
-	bunchGaps = 0.27
-	// firstSample is the event at which a run's first event is learnt from:
-	// the engine's gap is known by then.
-	firstSample = 6
-	// checkEvery is the time between two looks at a silent run.
-	checkEvery = 50 * time.Millisecond
+	// defaultIntervalObjective is the objective for event intervals on routes that set
+	// none. The shares below are shares of a route's objective.
+	defaultIntervalObjective = 700 * time.Millisecond
+	// After connCheckShare without an event the instance checks that the target still
+	// accepts connections, or after decodeConnCheckShare while the target prefills no
+	// prompt, when events come more often.
+	connCheckShare       = 0.43
+	decodeConnCheckShare = 0.21
+	// After replicaFailoverShare without an event a stream with a replica fails over
+	// although its target accepts connections.
+	replicaFailoverShare = 0.78
+	// headConnCheckShare is the time without an answer's head after which the connection
+	// to the target is checked. It is longer than connCheckShare because prefilling takes
+	// a second or more.
+	headConnCheckShare = 0.86
+	// After failoverShare without an event a stream without a replica fails over. This is
+	// longer than an engine pauses its streams to prefill a prompt. An engine with more
+	// than fullMemoryShare of its KV cache in use may have preempted the stream and has to
+	// prefill it again, which takes seconds. The longer fullMemoryFailoverShare applies
+	// there, since another engine would have to prefill the stream as well.
+	failoverShare           = 1.7
+	fullMemoryFailoverShare = 5.7
+	fullMemoryShare         = 0.8
+	// An engine may pause all its streams for long because it prefills or is slow. These
+	// are the multiples of its longest recent pause after which its connection is checked
+	// and its streams fail over, with and without a replica.
+	connCheckPauses       = 1.1
+	replicaFailoverPauses = 2
+	failoverPauses        = 4
+	// decodeConnCheckIntervals is how many event intervals an engine that prefills nothing
+	// may stay silent before its connection is checked.
+	decodeConnCheckIntervals = 3
+	// maxTimerDelay is how late a timer may fire on a busy machine.
+	maxTimerDelay = 250 * time.Millisecond
+	// A lost packet delays all events until it is retransmitted, after which they arrive
+	// in a burst. An event stallIntervals or more usual intervals after the one before,
+	// followed by another one within burstIntervals, shows such a loss: an engine does not
+	// generate events that fast.
+	stallIntervals = 2.5
+	burstIntervals = 0.27
+	// firstEventSampleAt is the number of the event at which the time to first event is
+	// learned, since the engine's event interval is known by then.
+	firstEventSampleAt   = 6
+	silenceCheckInterval = 50 * time.Millisecond
 )
 
-// asked is what asking a run's target for a connection has shown.
-type asked struct {
-	at  clock.Time
-	err error
+// connFailure is the result of a connection check that failed.
+type connFailure struct {
+	checkedAt clock.Time
+	err       error
 }
 
-// overslept reports whether a timer fired so late that this process itself
-// stood still: what its targets sent meanwhile waits to be read, and their
-// silence says nothing. After 4 s of standstill all streams of an instance
-// would be moved at once, and the budget would not allow it.
-func overslept(planned, actual time.Duration) bool { return actual > planned+maxLate }
+// timerOverran reports whether a timer fired so late that this process must have been
+// stalled. The silence of its targets then proves nothing, since their events may be
+// waiting to be read; failing all streams over would exhaust the retry budget.
+func timerOverran(planned, actual time.Duration) bool { return actual > planned+maxTimerDelay }
 
-// movable reports whether the stream may go on at another target; one that
-// may not is waited for, whatever is believed of its target.
-func (r *run) movable() bool {
-	return r.s.g.Route.Idempotent() && r.s.sends < r.s.g.Route.MaxTargets() && !r.s.trial
+// canFailOver reports whether the stream may be sent to another target. If not, the
+// attempt goes on although its target seems lost.
+func (a *attempt) canFailOver() bool {
+	return a.s.grant.Route.Idempotent() && a.s.attempts < a.s.grant.Route.MaxTargets() && !a.s.isProbe
 }
 
-// check looks at a run that has been quiet for so long, and reports whether
-// it has to move.
-func (r *run) check(ctx context.Context, quiet time.Duration) bool {
+// checkSilence checks an attempt that has been silent for the given time and reports
+// whether its stream has to fail over.
+func (a *attempt) checkSilence(ctx context.Context, silence time.Duration) bool {
 	now := clock.Now()
-	probe, move := r.probeAfter(now), r.moveAfter(now)
-	if !r.answered && r.from == nil {
-		probe = times(firstProbeShare, r.gap)
+	checkAfter, failoverAfter := a.connCheckAfter(now), a.failoverAfter(now)
+	if !a.headReceived && a.replica == nil {
+		checkAfter = scaled(headConnCheckShare, a.intervalObjective)
 	}
-	if (quiet >= move || r.gone) && r.mayLeave(ctx, now) {
-		r.gaveUp(quiet)
+	if (silence >= failoverAfter || a.targetLost) && a.hasRetry(ctx, now) {
+		a.recordSilence(silence)
 		return true
 	}
-	if quiet >= probe && now.Sub(r.probed) >= probe {
-		r.probed = now
-		go r.ask(ctx, r.probed)
+	if silence >= checkAfter && now.Sub(a.connCheckedAt) >= checkAfter {
+		a.connCheckedAt = now
+		go a.checkConnection(ctx, a.connCheckedAt)
 	}
 	return false
 }
 
-// mayLeave reports whether the run can be given up: there is a repeat for its
-// stream to go on with. Without one, giving it up would end a stream whose
-// target may be no worse than slow.
-func (r *run) mayLeave(ctx context.Context, now clock.Time) bool {
-	if r.s.borrow(ctx) {
+// hasRetry reserves a retry for a failover and reports whether the retry budget allows it.
+// If not, the attempt goes on: its target may only be slow.
+func (a *attempt) hasRetry(ctx context.Context, now clock.Time) bool {
+	if a.s.obtainRetry(ctx) {
 		return true
 	}
-	if !r.kept {
-		r.kept = true
-		r.s.h.stats.overBudget.Inc(1)
-		r.s.h.log.Warn().Str("request", r.s.c.ID).Str("target", r.m.Target().ID()).Dur("quiet", now.Sub(r.heard)).Bool("targetLost", r.gone).
-			Msg("resume: silent run kept, no repeat left in the budget")
+	if !a.overBudgetLogged {
+		a.overBudgetLogged = true
+		a.s.h.stats.overBudget.Inc(1)
+		a.s.h.log.Warn().Str("request", a.s.call.ID).Str("target", a.member.Target().ID()).Dur("quiet", now.Sub(a.lastActivityAt)).Bool("targetLost", a.targetLost).
+			Msg("resume: retry budget exhausted; waiting for the silent target")
 	}
 	return false
 }
 
-// gaveUp notes that a run has been quiet for too long.
-func (r *run) gaveUp(quiet time.Duration) {
-	r.m.Health().Answered(clock.Now(), quiet, true)
-	if !r.answered && r.anew {
-		r.s.h.paces.Of(r.s.service()).Waited(quiet, r.expected(clock.Now()))
+// recordSilence records that an attempt ended because its target was silent.
+func (a *attempt) recordSilence(silence time.Duration) {
+	a.member.Health().Answered(clock.Now(), silence, true)
+	if !a.headReceived && a.fromStart {
+		a.s.h.paces.Of(a.s.service()).Waited(silence, a.expectedFirstEvent(clock.Now()))
 	}
 }
 
-// moveAfter is the silence after which a run is given up though its target
-// still takes connections.
-func (r *run) moveAfter(now clock.Time) time.Duration {
-	if !r.answered && r.from == nil {
-		return r.firstBy(now)
+// failoverAfter returns the silence after which the stream fails over although its target
+// accepts connections.
+func (a *attempt) failoverAfter(now clock.Time) time.Duration {
+	if !a.headReceived && a.replica == nil {
+		return a.firstEventTimeout(now)
 	}
-	share, pauses := anewShare, float64(anewPauses)
+	share, pauses := failoverShare, float64(failoverPauses)
 	switch {
-	case r.s.copyHolder() != nil:
-		share, pauses = moveShare, movePauses
-	case r.s.g.Route.Stall() > 0:
-		return r.s.g.Route.Stall()
-	case memory(r.m.Work().All().Tokens, r.s.g.Service.Engine()) > fullMemory:
-		share = anewFullShare
-	}
-	longest := r.m.Pace().Longest(now)
-	return max(times(share, r.gap), times(pauses, longest))
+	case a.s.replicaTarget() != nil:
+		share, pauses = replicaFailoverShare, replicaFailoverPauses
+	case a.s.grant.Route.Stall() > 0:
+		return a.s.grant.Route.Stall()
+	case memoryShare(a.member.Work().All().Tokens, a.s.grant.Service.Engine()) > fullMemoryShare:
+		share = fullMemoryFailoverShare
+	}
+	longest := a.member.Pace().Longest(now)
+	return max(scaled(share, a.intervalObjective), scaled(pauses, longest))
 }
 
-// expected is how long the run's first event is expected to take; 0 if that is
-// not known.
-func (r *run) expected(now clock.Time) time.Duration {
-	p := r.s.pace()
-	return p.First(r.backlog+r.prompt, r.s.gap(r.m, p, now))
+// expectedFirstEvent returns the expected time to first event; 0 if unknown.
+func (a *attempt) expectedFirstEvent(now clock.Time) time.Duration {
+	p := a.s.pace()
+	return p.First(a.prefillBacklog+a.prefillTokens, a.s.interval(a.member, p, now))
 }
 
-// firstBy is how long the run's first event may take.
-func (r *run) firstBy(now clock.Time) time.Duration {
-	expected := r.expected(now)
+// firstEventTimeout returns the time to first event after which the stream fails over.
+func (a *attempt) firstEventTimeout(now clock.Time) time.Duration {
+	expected := a.expectedFirstEvent(now)
 	if expected == 0 {
-		aim := r.s.g.Route.Target()
-		if aim == 0 {
-			aim = unknownFirst
+		objective := a.s.grant.Route.Target()
+		if objective == 0 {
+			objective = defaultFirstEventObjective
 		}
-		return times(unknownLate, aim)
+		return scaled(unknownSpeedTimeoutShare, objective)
 	}
-	p := r.s.pace()
-	share, margin := float64(lateShare), lateMargin
-	if r.rank == RankLast {
-		share, margin = lateShareLast, lateMarginLast
+	p := a.s.pace()
+	share, margin := float64(firstEventTimeoutFactor), firstEventTimeoutMargin
+	if a.rank == RankLast {
+		share, margin = lowRankTimeoutFactor, lowRankTimeoutMargin
 	}
-	share = max(share, spreadShare*p.Spread)
-	return times(share, expected) + times(margin, p.Reading(int(p.Prompt), p.Gap))
+	share = max(share, spreadTimeoutFactor*p.Spread)
+	return scaled(share, expected) + scaled(margin, p.Reading(int(p.Prompt), p.Gap))
 }
 
-func times(n float64, d time.Duration) time.Duration { return time.Duration(n * float64(d)) }
+func scaled(factor float64, d time.Duration) time.Duration { return time.Duration(factor * float64(d)) }
 
-// ask asks the run's target for a connection, and tells the run if there is
-// none. The run decides: its target may have been heard meanwhile.
-func (r *run) ask(ctx context.Context, at clock.Time) {
-	err := r.s.reach(r.m)
+// checkConnection checks the connection to the attempt's target and reports a failure to
+// the attempt, which ignores it if the target has sent something since.
+func (a *attempt) checkConnection(ctx context.Context, checkedAt clock.Time) {
+	err := a.s.checkConnection(a.member)
 	if err == nil {
 		return
 	}
 	select {
-	case r.asked <- asked{at: at, err: err}:
+	case a.connFailures <- connFailure{checkedAt: checkedAt, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-// probeAfter is the silence after which the run's target is asked for a
-// connection.
-func (r *run) probeAfter(now clock.Time) time.Duration {
-	if !r.m.Work().All().Reads() {
-		return r.calm(now)
+// connCheckAfter returns the silence after which the connection to the target is checked.
+func (a *attempt) connCheckAfter(now clock.Time) time.Duration {
+	if !a.member.Work().All().Reads() {
+		return a.decodeConnCheckAfter(now)
 	}
-	return max(times(probeShare, r.gap), times(askPauses, r.m.Pace().Longest(now)))
+	return max(scaled(connCheckShare, a.intervalObjective), scaled(connCheckPauses, a.member.Pace().Longest(now)))
 }
 
-// calm is that silence while the target reads no prompt.
-func (r *run) calm(now clock.Time) time.Duration {
-	return max(times(calmShare, r.gap), times(calmGaps, r.m.Pace().Own(now)))
+// decodeConnCheckAfter is like connCheckAfter for a target that prefills no prompt.
+func (a *attempt) decodeConnCheckAfter(now clock.Time) time.Duration {
+	return max(scaled(decodeConnCheckShare, a.intervalObjective), scaled(decodeConnCheckIntervals, a.member.Pace().Own(now)))
 }
 
-// nextCheck is when a quiet run is to be looked at again.
-func (r *run) nextCheck(quiet time.Duration) time.Duration {
+// nextSilenceCheck returns the time until a silent attempt is checked again.
+func (a *attempt) nextSilenceCheck(silence time.Duration) time.Duration {
 	now := clock.Now()
-	if probe := r.probeAfter(now); quiet < probe && !r.gone {
-		return min(probe-quiet, r.calm(now)) // it may have read its prompts by then
+	if checkAfter := a.connCheckAfter(now); silence < checkAfter && !a.targetLost {
+		return min(checkAfter-silence, a.decodeConnCheckAfter(now)) // prefills may be done by then
 	}
-	return checkEvery
+	return silenceCheckInterval
 }
 
-// observe notes when an event was read, and what that says of the run's target
-// and of the way to it.
-func (r *run) observe(at clock.Time) {
-	service := r.s.h.paces.Of(r.s.service())
-	if r.last == 0 {
-		r.first, r.last = at, at
-		if r.anew {
-			service.Waited(at.Sub(r.begun), r.expected(at))
+// observeEvent records the time of an event, from which the speed of the target and packet
+// loss on the way to it are learned.
+func (a *attempt) observeEvent(readAt clock.Time) {
+	service := a.s.h.paces.Of(a.s.service())
+	if a.lastEventAt == 0 {
+		a.firstEventAt, a.lastEventAt = readAt, readAt
+		if a.fromStart {
+			service.Waited(readAt.Sub(a.startedAt), a.expectedFirstEvent(readAt))
 		}
 		return
 	}
-	gap, usual := at.Sub(r.last), r.s.gapAmong(r.m, service.Gap(), at)
-	if r.late && gap <= times(bunchGaps, usual) {
-		r.stalled(at)
+	interval, usual := readAt.Sub(a.lastEventAt), a.s.intervalOr(a.member, service.Gap(), readAt)
+	if a.lastEventLate && interval <= scaled(burstIntervals, usual) {
+		a.recordStall(readAt)
 	}
-	r.late = usual != 0 && gap >= times(stallGaps, usual)
-	r.last = at
-	calm := !r.m.Work().All().Reads()
-	r.m.Pace().Event(gap, calm, at)
-	if calm {
-		r.calmest.add(gap)
-		service.Event(gap)
+	a.lastEventLate = usual != 0 && interval >= scaled(stallIntervals, usual)
+	a.lastEventAt = readAt
+	decodeOnly := !a.member.Work().All().Reads()
+	a.member.Pace().Event(interval, decodeOnly, readAt)
+	if decodeOnly {
+		a.decodeIntervals.add(interval)
+		service.Event(interval)
 	}
-	if r.events == firstSample && r.anew && r.backlog == 0 {
-		service.First(r.first.Sub(r.begun), r.prompt, r.m.Pace().Own(at))
+	if a.events == firstEventSampleAt && a.fromStart && a.prefillBacklog == 0 {
+		service.First(a.firstEventAt.Sub(a.startedAt), a.prefillTokens, a.member.Pace().Own(readAt))
 	}
 }
 
-// stalled notes that the way to the run's target has lost a packet.
-func (r *run) stalled(at clock.Time) {
-	zone := r.m.Target().Zone()
-	if !r.s.h.links.Stalled(zone, at) {
+// recordStall records a lost packet on the link to the target's zone.
+func (a *attempt) recordStall(readAt clock.Time) {
+	zone := a.member.Target().Zone()
+	if !a.s.h.links.Stalled(zone, readAt) {
 		return
 	}
-	r.s.h.stats.waysLossy.Inc(1)
-	r.s.h.log.Warn().Str("request", r.s.c.ID).Str("target", r.m.Target().ID()).Str("targetZone", zone).
-		Float64("stalls", r.s.h.links.Stalls(zone, at)).Msg("health: the way to a zone loses packets")
+	a.s.h.stats.lossyLinks.Inc(1)
+	a.s.h.log.Warn().Str("request", a.s.call.ID).Str("target", a.member.Target().ID()).Str("targetZone", zone).
+		Float64("stalls", a.s.h.links.Stalls(zone, readAt)).Msg("health: link to a zone loses packets")
 }
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -15,254 +15,248 @@
 )
 
 const (
-	// A first event is late, so that the stream is sent to another target,
-	// at lateShare times the time it is expected to take plus lateMargin
-	// readings of a usual prompt: an answer may be lost without a sign. Where
-	// first events take longer than expected of late, the load or all engines
-	// are the cause, and what slow ones took, times spreadShare, is waited
-	// for. A second reading costs the engines as much as the first. Returned
-	// streams wait behind new ones, and so longer.
-	lateShare      = 2
-	lateMargin     = 1.5
-	lateShareLast  = 2.5
-	lateMarginLast = 3
-	spreadShare    = 1.3
-	// unknownLate is the part of the time within which callers expect a first
-	// event that is waited for while nothing is known of the engines' speed:
-	// the other half is left for a second reading. unknownFirst stands for
-	// that time where the route does not say it.
-	unknownLate  = 0.5
-	unknownFirst = 4500 * time.Millisecond
+	// A stream without a first event fails over after firstEventTimeoutFactor times the
+	// expected time, or spreadTimeoutFactor times the recent spread if that is more, plus
+	// firstEventTimeoutMargin times the prefill of a usual prompt. The lowRank values
+	// apply to RankLast, since those streams wait behind others. The timeouts are long
+	// because a second prefill costs as much as the first.
+	firstEventTimeoutFactor = 2
+	firstEventTimeoutMargin = 1.5
+	lowRankTimeoutFactor    = 2.5
+	lowRankTimeoutMargin    = 3
+	spreadTimeoutFactor     = 1.3
+	// unknownSpeedTimeoutShare of the objective for first events is the timeout while the
+	// speed of the engines is unknown, which leaves the rest for another attempt.
+	// defaultFirstEventObjective is for routes without an objective.
+	unknownSpeedTimeoutShare   = 0.5
+	defaultFirstEventObjective = 4500 * time.Millisecond
 )
 
-// stream is a streamed call in progress, over all its runs.
+// stream is a streaming call in progress, over all its attempts.
 type stream struct {
-	*job
-	last     int64     // id of the last event passed on
-	step     int64     // by which ids rise; 0: not known yet, 1 is taken
-	begun    bool      // the caller has the head of the answer
-	copy     copyPlace // where the run's memory is copied to
-	copied   bool      // the run has made events, so there is a copy to go on from
-	dropCopy func()
-	cutAt    clock.Time // when the run before ended; 0: there was none
-	losses   []loss
-	fails    int
-	made     int // events of all runs, those included that the caller came with
+	*activeCall
+	lastID         int64            // id of the last event sent to the caller
+	idStep         int64            // difference between successive ids; 0: unknown, assumed 1
+	headSent       bool             // the caller has the head of the answer
+	copy           replicaPlacement // where the attempt's KV cache is replicated
+	replicaStarted bool             // the attempt has generated events, so that there is a replica
+	releaseReplica func()
+	interruptedAt  clock.Time // when the previous attempt ended; 0: no interruption
+	zoneLosses     []zoneLoss
+	failedAttempts int
+	totalEvents    int // events of all attempts and those before the resume offset
 }
 
-func newStream(j *job) *stream {
-	j.h.paces.Of(j.service()).Sent(j.c.Prompt)
-	s := &stream{job: j, dropCopy: func() {}}
-	if n, err := strconv.ParseInt(j.c.After, 10, 64); err == nil {
-		s.last, s.made = n, int(n)
+func newStream(c *activeCall) *stream {
+	c.h.paces.Of(c.service()).Sent(c.call.Prompt)
+	s := &stream{activeCall: c, releaseReplica: func() {}}
+	if n, err := strconv.ParseInt(c.call.After, 10, 64); err == nil {
+		s.lastID, s.totalEvents = n, int(n)
 	}
 	return s
 }
 
-// run sends the call to one target after the other until one of them has
-// ended the stream.
-func (s *stream) run(ctx context.Context) {
-	defer func() { s.dropCopy() }()
+// serve sends the call to one target after another until a target has ended the stream.
+func (s *stream) serve(ctx context.Context) {
+	defer func() { s.releaseReplica() }()
 	for {
-		m, from := s.next()
-		if m == nil && s.fails > 0 {
-			m, from = s.awaitTarget(ctx)
+		m, replica := s.nextTarget()
+		if m == nil && s.failedAttempts > 0 {
+			m, replica = s.awaitTarget(ctx)
 		}
 		if m == nil {
-			s.end(ctx, http.StatusBadGateway, "no target", nil)
+			s.abort(ctx, http.StatusBadGateway, "no target available", nil)
 			return
 		}
-		if s.fails == 0 && s.hopeless(m) {
-			s.refuse("cannot end in time", 0)
+		if s.failedAttempts == 0 && s.cannotEndInTime(m) {
+			s.reject("cannot end in time", 0)
 			return
 		}
-		r, err := s.attempt(ctx, m, from)
+		a, err := s.runAttempt(ctx, m, replica)
 		if err == nil {
-			s.ranWell()
-			s.answered(m, http.StatusOK)
+			s.recordSuccess()
+			s.recordAnswer(m, http.StatusOK)
 			return
 		}
 		if !errors.Is(err, upstream.ErrNotSent) {
-			s.mayRun = true
+			s.mayHaveRun = true
 		}
 		if ctx.Err() != nil {
-			s.outOfTime(ctx)
+			s.abortExpired(ctx)
 			return
 		}
-		s.lost(r, err)
-		if v, ok := s.condemned(); ok {
-			s.endCondemned(v, err)
+		s.recordFailedAttempt(a, err)
+		if verdict, ok := s.quarantined(); ok {
+			s.abortQuarantined(verdict, err)
 			return
 		}
-		if s.mayRun && !s.g.Route.Idempotent() || !s.again(ctx) || s.fails >= maxDials+s.g.Route.MaxTargets() {
-			s.end(ctx, http.StatusBadGateway, "no target left to go on", err)
+		if s.mayHaveRun && !s.grant.Route.Idempotent() || !s.mayRetry(ctx) || s.failedAttempts >= maxDials+s.grant.Route.MaxTargets() {
+			s.abort(ctx, http.StatusBadGateway, "no further attempt possible", err)
 			return
 		}
 	}
 }
 
-// next chooses the target of the next run, and the copy it goes on from.
-func (s *stream) next() (m, from *registry.Member) {
+// nextTarget selects the target of the next attempt, and the replica it resumes from.
+func (s *stream) nextTarget() (m, replica *registry.Member) {
 	now := clock.Now()
-	if c := s.copyHolder(); c != nil && c.Takes(now) {
-		return c, c
+	if target := s.replicaTarget(); target != nil && target.Takes(now) {
+		return target, target
 	}
 	if m := s.pickEngine(now, nil, s.tried.list()...); m != nil {
 		return m, nil
 	}
-	// All others failed: one that was tried before may be back.
+	// All others failed; a target that was tried before may be available again.
 	return s.pickEngine(now, nil), nil
 }
 
-// awaitTarget waits for a target to take a stream that has lost its own: a
-// part of the answer is with the caller, and a restarted target may be there
-// in a moment.
-func (s *stream) awaitTarget(ctx context.Context) (m, from *registry.Member) {
-	until := clock.Now().Add(s.h.await)
-	for m == nil && clock.Now() < until && clock.Sleep(ctx, checkEvery) {
-		m, from = s.next()
+// awaitTarget waits for a target to become available for an interrupted stream. A
+// restarting target may be ready soon.
+func (s *stream) awaitTarget(ctx context.Context) (m, replica *registry.Member) {
+	deadline := clock.Now().Add(s.h.targetWait)
+	for m == nil && clock.Now() < deadline && clock.Sleep(ctx, silenceCheckInterval) {
+		m, replica = s.nextTarget()
 	}
-	return m, from
+	return m, replica
 }
 
-// lost notes how a run ended.
-func (s *stream) lost(r *run, err error) {
-	now, m := clock.Now(), r.m
-	if s.cutAt == 0 || s.begun {
-		s.cutAt = now
+// recordFailedAttempt records and logs an attempt that ended early.
+func (s *stream) recordFailedAttempt(a *attempt, err error) {
+	now, m := clock.Now(), a.member
+	if s.interruptedAt == 0 || s.headSent {
+		s.interruptedAt = now
 	}
-	s.fails++
+	s.failedAttempts++
 	s.tried.add(m)
-	if !r.answered || !errors.Is(err, upstream.ErrNotSent) { // it did not just decline the order
-		s.losses = append(s.losses, loss{zone: m.Target().Zone(), at: now})
+	if !a.headReceived || !errors.Is(err, upstream.ErrNotSent) { // the target did not just reject the call
+		s.zoneLosses = append(s.zoneLosses, zoneLoss{zone: m.Target().Zone(), at: now})
 	}
-	s.h.log.Warn().Str("request", s.c.ID).Stringer("fingerprint", s.print).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Bool("fromCopy", r.from != nil).
-		Int64("lastEvent", s.last).Bool("answered", r.answered).Dur("generated", r.generated(now)).Int("events", r.events).Dur("ran", now.Sub(r.begun)).Dur("quiet", now.Sub(r.heard)).
-		Dur("after", now.Sub(s.c.Received)).Int("sends", s.sends).Err(err).Msg("resume: run ended early")
+	s.h.log.Warn().Str("request", s.call.ID).Stringer("fingerprint", s.print).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Bool("fromCopy", a.replica != nil).
+		Int64("lastEvent", s.lastID).Bool("answered", a.headReceived).Dur("generated", a.generationTime(now)).Int("events", a.events).Dur("ran", now.Sub(a.startedAt)).Dur("quiet", now.Sub(a.lastActivityAt)).
+		Dur("after", now.Sub(s.call.Received)).Int("sends", s.attempts).Err(err).Msg("resume: attempt ended early")
 }
 
-// end gives the stream up. A stream that has begun is cut, so that it does
-// not look complete.
-func (s *stream) end(ctx context.Context, status int, cause string, err error) {
-	if !s.begun {
+// abort ends the stream without success. If the caller has a part of the answer, the
+// connection is cut so that the answer does not look complete.
+func (s *stream) abort(ctx context.Context, status int, cause string, err error) {
+	if !s.headSent {
 		s.fail(status, cause, err)
 		return
 	}
-	s.h.stats.streamsCut.Inc(1)
-	s.log(0, "stream cut: "+cause, err)
+	s.h.stats.abortedStreams.Inc(1)
+	s.logFailure(0, "stream cut: "+cause, err)
 	panic(http.ErrAbortHandler)
 }
 
-// endCondemned gives a stream up whose request was condemned meanwhile.
-func (s *stream) endCondemned(v poison.Verdict, err error) {
-	if !s.begun {
-		s.condemn(v)
+// abortQuarantined ends a stream whose request was quarantined after the stream started.
+func (s *stream) abortQuarantined(verdict poison.Verdict, err error) {
+	if !s.headSent {
+		s.answerQuarantined(verdict)
 		return
 	}
-	s.h.stats.streamsCut.Inc(1)
-	s.log(0, "stream cut: request condemned", err)
+	s.h.stats.abortedStreams.Inc(1)
+	s.logFailure(0, "stream cut: request quarantined", err)
 	panic(http.ErrAbortHandler)
 }
 
-func (s *stream) outOfTime(ctx context.Context) {
+func (s *stream) abortExpired(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		s.abandoned()
+		s.abandon()
 	}
-	s.end(ctx, http.StatusGatewayTimeout, "out of time", ctx.Err())
+	s.abort(ctx, http.StatusGatewayTimeout, "deadline exceeded", ctx.Err())
 }
 
-// attempt makes one run and passes its events on. It returns nil when the
-// stream, or an answer in its place, is complete at the caller.
-func (s *stream) attempt(parent context.Context, m, from *registry.Member) (*run, error) {
+// runAttempt makes one attempt and forwards its events. It returns nil when the caller has
+// the complete stream, or another answer in its place.
+func (s *stream) runAttempt(parent context.Context, member, replica *registry.Member) (*attempt, error) {
 	ctx, cancel := context.WithCancel(parent)
-	defer cancel() // closes the run's connection: the target stops its work
+	defer cancel() // closes the connection, so that the target stops its work
 	now := clock.Now()
-	o := &Order{Call: s.c, Target: m.Target(), Member: m, Org: s.g.Org, Left: s.left(now), Rank: s.rank(m)}
-	if s.last > 0 {
-		o.After = strconv.FormatInt(s.last, 10)
+	o := &Order{Call: s.call, Target: member.Target(), Member: member, Org: s.grant.Org, Left: s.remaining(now), Rank: s.rank(member)}
+	if s.lastID > 0 {
+		o.After = strconv.FormatInt(s.lastID, 10)
 	}
-	if from != nil {
-		o.CopyAt = from.Target().Address()
+	if replica != nil {
+		o.CopyAt = replica.Target().Address()
 	}
-	prompt := s.toRead(m, from)
-	s.placeCopy(m, o)
-	backlog, begin := m.Work().All().Prefill, m.Work().Begin
+	prefillTokens := s.prefillTokens(member, replica)
+	s.placeReplica(member, o)
+	prefillBacklog, begin := member.Work().All().Prefill, member.Work().Begin
 	if o.Rank == RankLast {
-		backlog, begin = backlog+m.Work().All().Later, m.Work().BeginLater
+		prefillBacklog, begin = prefillBacklog+member.Work().All().Later, member.Work().BeginLater
 	}
-	s.logSend(m, from, o, backlog+prompt)
-	started, done := begin(prompt, s.size())
-	s.h.recall.Note(recall.Place{Subject: s.c.Subject, Engine: m.Target().Boot()}, now)
-	s.h.tell()
-	defer done()
-	s.h.rollouts.Sent(s.service(), m.Target().Version(), s.lane, s.sends > 0)
-	s.sends++
-	r := &run{s: s, m: m, from: from, begun: now, sentAt: time.Now(), heard: now, gap: s.pauseAim(), rank: o.Rank, prompt: prompt, anew: s.last == 0 && from == nil, backlog: backlog, started: started,
-		news: make(chan news, pendingEvents), asked: make(chan asked), sent: make(chan error, 1)}
+	s.logAttempt(member, replica, o, prefillBacklog+prefillTokens)
+	prefillDone, attemptDone := begin(prefillTokens, s.kvTokens())
+	s.h.cacheLocations.Note(recall.Place{Subject: s.call.Subject, Engine: member.Target().Boot()}, now)
+	s.h.notifyPeers()
+	defer attemptDone()
+	s.h.rollouts.Sent(s.service(), member.Target().Version(), s.lane, s.attempts > 0)
+	s.attempts++
+	a := &attempt{s: s, member: member, replica: replica, startedAt: now, sentWallTime: time.Now(), lastActivityAt: now, intervalObjective: s.intervalObjective(), rank: o.Rank, prefillTokens: prefillTokens, fromStart: s.lastID == 0 && replica == nil, prefillBacklog: prefillBacklog, prefillDone: prefillDone,
+		results: make(chan readResult, eventQueueSize), connFailures: make(chan connFailure), sendResult: make(chan error, 1)}
 	p := s.pace()
-	r.expectedAtSend = p.First(backlog+prompt, p.Gap)
-	go r.read(ctx, o)
-	err := r.watch(ctx)
+	a.expectedAtSend = p.First(prefillBacklog+prefillTokens, p.Gap)
+	go a.read(ctx, o)
+	err := a.watch(ctx)
 	cancel()
-	targetsOwn := !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, errPanicked)
-	if r.answered && err != nil && parent.Err() == nil && targetsOwn {
-		made := s.made
-		go s.h.guarded(s.c.ID, func() { s.blame(m, r.answeredAt, made) })
+	failedAtTarget := !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, errPanic)
+	if a.headReceived && err != nil && parent.Err() == nil && failedAtTarget {
+		totalEvents := s.totalEvents
+		go s.h.catchPanic(s.call.ID, func() { s.investigateCrash(member, a.headReceivedAt, totalEvents) })
 	}
-	s.judgeEnd(parent, r, err)
-	return r, r.settle(err)
+	s.recordAttemptEnd(parent, a, err)
+	return a, a.resolveSendError(err)
 }
 
-// pauseAim is the longest pause between events that callers expect.
-func (s *stream) pauseAim() time.Duration {
-	if g := s.g.Route.GapTarget(); g > 0 {
-		return g
+// intervalObjective returns the longest event interval that callers expect.
+func (s *stream) intervalObjective() time.Duration {
+	if objective := s.grant.Route.GapTarget(); objective > 0 {
+		return objective
 	}
-	return usualGap
+	return defaultIntervalObjective
 }
 
-// logSend writes the line of the choice of a target.
-func (s *stream) logSend(m, from *registry.Member, o *Order, toRead int) {
+// logAttempt logs the selection of a target.
+func (s *stream) logAttempt(m, replica *registry.Member, o *Order, prefillTokens int) {
 	load, p := m.Work().All(), s.pace()
-	gap := s.job.gap(m, p, clock.Now())
-	s.h.log.Info().Str("request", s.c.ID).Stringer("fingerprint", s.print).Str("route", s.g.Route.Name()).Str("org", s.g.Org).Int64("version", s.g.Version).
-		Dur("proofAge", s.g.Age).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Int("prefill", load.Prefill).Int("running", load.Running).
-		Int("tokens", load.Tokens).Bool("fromCopy", from != nil).Str("copyTo", o.BackupAt).Int64("afterEvent", s.last).Int("prompt", s.c.Prompt).
-		Uint8("rank", uint8(o.Rank)).Dur("engineGap", gap).Dur("expected", p.First(toRead, gap)).
+	interval := s.activeCall.interval(m, p, clock.Now())
+	s.h.log.Info().Str("request", s.call.ID).Stringer("fingerprint", s.print).Str("route", s.grant.Route.Name()).Str("org", s.grant.Org).Int64("version", s.grant.Version).
+		Dur("proofAge", s.grant.Age).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Int("prefill", load.Prefill).Int("running", load.Running).
+		Int("tokens", load.Tokens).Bool("fromCopy", replica != nil).Str("copyTo", o.BackupAt).Int64("afterEvent", s.lastID).Int("prompt", s.call.Prompt).
+		Uint8("rank", uint8(o.Rank)).Dur("engineGap", interval).Dur("expected", p.First(prefillTokens, interval)).
 		Dur("left", o.Left).Msg("route: stream sent")
 }
 
-// follows reports whether an event with this id comes right after the last
-// one passed on, first in its run or not. Within a run events follow each
-// other; a run that goes on has to begin where the last one ended, by the
-// step that ids rise by.
-func (s *stream) follows(id int64, first bool) bool {
-	if s.last == 0 {
+// isNextID reports whether the event with this id follows the last one sent to the caller.
+// Within an attempt any higher id follows; the first event of a further attempt has to be
+// one idStep after the last one.
+func (s *stream) isNextID(id int64, firstInAttempt bool) bool {
+	if s.lastID == 0 {
 		return true
 	}
-	if !first {
-		s.step = id - s.last
+	if !firstInAttempt {
+		s.idStep = id - s.lastID
 		return true
 	}
-	return id == s.last+max(s.step, 1)
+	return id == s.lastID+max(s.idStep, 1)
 }
 
-// begin passes the head of the first run's answer on.
-func (s *stream) begin(head *Reply) {
-	passOn(s.w, head)
+// sendHead sends the head of the answer to the caller.
+func (s *stream) sendHead(head *Reply) {
+	copyHead(s.w, head)
 	s.w.WriteHeader(head.Status)
-	s.begun = true
+	s.headSent = true
 }
 
-// resumed notes that the stream goes on.
-func (s *stream) resumed(r *run) {
-	gap := clock.Now().Sub(s.cutAt)
-	s.cutAt = 0
-	s.h.stats.resumed.Inc(1)
-	if r.from != nil {
-		s.h.stats.resumedByCopy.Inc(1)
+// recordFailover records and logs that the stream continues.
+func (s *stream) recordFailover(a *attempt) {
+	interruption := clock.Now().Sub(s.interruptedAt)
+	s.interruptedAt = 0
+	s.h.stats.failovers.Inc(1)
+	if a.replica != nil {
+		s.h.stats.replicaFailovers.Inc(1)
 	}
-	s.h.stats.resumeTime.Record(gap)
-	s.h.log.Info().Str("request", s.c.ID).Str("target", r.m.Target().ID()).Bool("fromCopy", r.from != nil).
-		Int64("event", s.last).Dur("gap", gap).Msg("resume: stream goes on")
+	s.h.stats.failoverTime.Record(interruption)
+	s.h.log.Info().Str("request", s.call.ID).Str("target", a.member.Target().ID()).Bool("fromCopy", a.replica != nil).
+		Int64("event", s.lastID).Dur("gap", interruption).Msg("resume: stream continues")
 }
--- a/ingress/version.go
+++ b/ingress/version.go
@@ -15,55 +15,54 @@
 )
 
 const (
-	// trialPart of a new version's targets share the calls on trial, and leastTrial of
-	// them at least: with a tenth of the calls on trial each is then about half as busy
-	// as the old ones, not nearly idle, and instances that know nothing of each other's
-	// choice seldom meet.
-	trialPart  = 0.2
-	leastTrial = 3
-	// judgedEvents is how many events of a run show whether it is slow, and calmEvents
-	// how many of them must have come while no prompt was read beside it.
-	judgedEvents = 10
-	calmEvents   = 3
+	// canaryTargetShare is the share of the new version's targets that get the canary
+	// calls, and minCanaryTargets the least number of them. The others get none, so that
+	// these have enough load to be compared with the baseline.
+	canaryTargetShare = 0.2
+	minCanaryTargets  = 3
+	// The speed of an attempt is rated after speedSampleEvents events, if there are
+	// minDecodeIntervals event intervals without prefill beside them.
+	speedSampleEvents  = 10
+	minDecodeIntervals = 3
 )
 
-// placement says which versions the call may go to now.
-func (j *job) placement(now clock.Time) rollout.Placement {
-	return j.h.rollouts.Place(j.service(), j.lane, now)
+// placement returns the versions that the call may be sent to now.
+func (c *activeCall) placement(now clock.Time) rollout.Placement {
+	return c.h.rollouts.Place(c.service(), c.lane, now)
 }
 
-// placed has a target chosen among those of the service that a placement prefers, and,
-// if there is none, among those that it allows.
-func (j *job) placed(now clock.Time, p rollout.Placement, pick func([]*registry.Member) *registry.Member) *registry.Member {
-	ms := j.h.targets.Service(j.service())
+// pickPlaced selects among the targets that a placement prefers or, if there is none,
+// among those that it allows.
+func (c *activeCall) pickPlaced(now clock.Time, p rollout.Placement, pick func([]*registry.Member) *registry.Member) *registry.Member {
+	ms := c.h.targets.Service(c.service())
 	if !p.Bound() {
 		return pick(ms)
 	}
-	best := of(ms, p, rollout.Preferred)
+	preferred := targetsFor(ms, p, rollout.Preferred)
 	if p.OnTrial() {
-		best = trialTargets(best, now)
+		preferred = canaryTargets(preferred, now)
 	}
-	if m := pick(best); m != nil {
+	if m := pick(preferred); m != nil {
 		return m
 	}
-	return pick(of(ms, p, rollout.Spare))
+	return pick(targetsFor(ms, p, rollout.Spare))
 }
 
-// of are the targets that a placement has a use for.
-func of(ms []*registry.Member, p rollout.Placement, use rollout.Use) []*registry.Member {
-	var out []*registry.Member
+// targetsFor returns the targets that have the given use in a placement.
+func targetsFor(ms []*registry.Member, p rollout.Placement, use rollout.Use) []*registry.Member {
+	var targets []*registry.Member
 	for _, m := range ms {
 		if p.Use(m.Target().Version()) == use {
-			out = append(out, m)
+			targets = append(targets, m)
 		}
 	}
-	return out
+	return targets
 }
 
-// trialTargets are those of a new version's targets that share the calls on trial: the
-// first that serve, in an order that all instances find by hashing.
-func trialTargets(ms []*registry.Member, now clock.Time) []*registry.Member {
-	n := max(leastTrial, int(trialPart*float64(len(ms))))
+// canaryTargets returns the targets of the new version that get the canary calls: the
+// first available ones in an order by hash, which is the same at all instances.
+func canaryTargets(ms []*registry.Member, now clock.Time) []*registry.Member {
+	n := max(minCanaryTargets, int(canaryTargetShare*float64(len(ms))))
 	ms = slices.DeleteFunc(slices.Clone(ms), func(m *registry.Member) bool { return !m.Takes(now) })
 	key := route.Key("trial")
 	slices.SortFunc(ms, func(a, b *registry.Member) int {
@@ -72,91 +71,91 @@
 	return ms[:min(n, len(ms))]
 }
 
-// saw notes what an answer of a target says of its version.
-func (j *job) saw(m *registry.Member, s rollout.Symptom, bad bool) {
-	if !j.h.rollouts.InForce() {
+// recordSymptom records a symptom, or its absence, for the version of a target.
+func (c *activeCall) recordSymptom(m *registry.Member, symptom rollout.Symptom, bad bool) {
+	if !c.h.rollouts.InForce() {
 		return
 	}
 	t := m.Target()
-	if j.h.rollouts.Fresh(j.service(), t.Version()) {
-		j.h.stats.trials.Inc(1)
+	if c.h.rollouts.Fresh(c.service(), t.Version()) {
+		c.h.stats.canaryAnswers.Inc(1)
 		if bad {
-			j.h.stats.trialsBad.Inc(1)
+			c.h.stats.badCanaryAnswers.Inc(1)
 		}
 	}
-	j.h.rollouts.Saw(rollout.Answer{Service: j.service(), Route: j.g.Route.Name(), Target: t.ID(), Version: t.Version(), Symptom: s, Bad: bad})
+	c.h.rollouts.Saw(rollout.Answer{Service: c.service(), Route: c.grant.Route.Name(), Target: t.ID(), Version: t.Version(), Symptom: symptom, Bad: bad})
 }
 
-// sawBroken notes an answer that broke off, unless its target was lost with it, after a
-// run there that had begun at a moment: then the version is not at fault.
-func (j *job) sawBroken(m *registry.Member, begun clock.Time) {
-	if j.h.rollouts.InForce() && !crashed(m, begun) {
-		j.saw(m, rollout.Failing, true)
+// recordBrokenAnswer records an answer that broke off as a failure of the target's
+// version, unless the target was lost after startedAt.
+func (c *activeCall) recordBrokenAnswer(m *registry.Member, startedAt clock.Time) {
+	if c.h.rollouts.InForce() && !lostAfter(m, startedAt) {
+		c.recordSymptom(m, rollout.Failing, true)
 	}
 }
 
-// calmest keeps the shortest gaps between a run's events while its target read no prompt:
-// events beside a prompt that is read are several times further apart, whatever the
+// decodeIntervals tracks the shortest event interval of an attempt while its target
+// prefills nothing. A prefill beside it makes intervals several times longer at any
 // version.
-type calmest struct {
-	seen int
-	gap  time.Duration
+type decodeIntervals struct {
+	count    int
+	shortest time.Duration
 }
 
-// add takes a gap.
-func (c *calmest) add(gap time.Duration) {
-	if c.seen == 0 || gap < c.gap {
-		c.gap = gap
+func (d *decodeIntervals) add(interval time.Duration) {
+	if d.count == 0 || interval < d.shortest {
+		d.shortest = interval
 	}
-	c.seen++
+	d.count++
 }
 
-// judge notes what the run's first events say of its target's version.
-func (r *run) judge() {
-	if r.judged || !r.anew || r.events < judgedEvents || r.calmest.seen < calmEvents || !r.s.h.rollouts.InForce() {
+// recordSpeed records what the first events of an attempt say about its target's version.
+func (a *attempt) recordSpeed() {
+	if a.speedRecorded || !a.fromStart || a.events < speedSampleEvents || a.decodeIntervals.count < minDecodeIntervals || !a.s.h.rollouts.InForce() {
 		return
 	}
-	r.judged = true
-	r.s.saw(r.m, rollout.Failing, false)
-	var first, gap float64
-	if r.expectedAtSend > 0 {
-		first = float64(r.first.Sub(r.begun)) / float64(r.expectedAtSend)
+	a.speedRecorded = true
+	a.s.recordSymptom(a.member, rollout.Failing, false)
+	var firstEventRatio, intervalRatio float64
+	if a.expectedAtSend > 0 {
+		firstEventRatio = float64(a.firstEventAt.Sub(a.startedAt)) / float64(a.expectedAtSend)
 	}
-	if usual := r.s.h.paces.Of(r.s.service()).Gap(); usual > 0 {
-		gap = float64(r.calmest.gap) / float64(usual)
+	if usual := a.s.h.paces.Of(a.s.service()).Gap(); usual > 0 {
+		intervalRatio = float64(a.decodeIntervals.shortest) / float64(usual)
 	}
-	r.s.saw(r.m, rollout.Slow, rollout.IsSlow(gap) || rollout.IsSlowStart(first))
+	a.s.recordSymptom(a.member, rollout.Slow, rollout.IsSlow(intervalRatio) || rollout.IsSlowStart(firstEventRatio))
 }
 
-// judgeEnd notes what the end of a run says of its target's version.
-func (s *stream) judgeEnd(ctx context.Context, r *run, err error) {
-	if err == nil || ctx.Err() != nil || r.failed || !s.h.rollouts.InForce() {
+// recordAttemptEnd records what the end of an attempt says about its target's version.
+func (s *stream) recordAttemptEnd(ctx context.Context, a *attempt, err error) {
+	if err == nil || ctx.Err() != nil || a.failureRecorded || !s.h.rollouts.InForce() {
 		return
 	}
 	switch {
-	case errors.Is(err, errSilent):
-		if !r.gone {
-			s.saw(r.m, rollout.Slow, true)
+	case errors.Is(err, errTargetSilent):
+		if !a.targetLost {
+			s.recordSymptom(a.member, rollout.Slow, true)
 		}
-	case errors.Is(err, upstream.ErrNotSent), errors.Is(err, errPanicked), errors.Is(err, errCondemned),
-		errors.Is(err, errLost), errors.Is(err, errEnded):
+	case errors.Is(err, upstream.ErrNotSent), errors.Is(err, errPanic), errors.Is(err, errQuarantined),
+		errors.Is(err, errTargetLost), errors.Is(err, errBootEnded):
 	default:
-		go s.h.guarded(s.c.ID, func() { s.sawBroken(r.m, r.begun) })
+		go s.h.catchPanic(s.call.ID, func() { s.recordBrokenAnswer(a.member, a.startedAt) })
 	}
 }
 
-// judgePlain notes what a try says of its target's version.
-func (j *job) judgePlain(t try, begun clock.Time, took time.Duration) {
-	if !j.h.rollouts.InForce() {
+// recordPlainSymptoms records what an attempt of a plain call says about its target's
+// version.
+func (c *activeCall) recordPlainSymptoms(result attemptResult, startedAt clock.Time, took time.Duration) {
+	if !c.h.rollouts.InForce() {
 		return
 	}
-	if t.err != nil {
-		go j.h.guarded(j.c.ID, func() { j.sawBroken(t.m, begun) })
+	if result.err != nil {
+		go c.h.catchPanic(c.call.ID, func() { c.recordBrokenAnswer(result.member, startedAt) })
 		return
 	}
-	j.saw(t.m, rollout.Failing, t.reply.failure())
-	if !t.reply.failure() {
-		times := j.h.rollouts.Times(j.service(), j.g.Route.Name(), t.m.Target().Version(), took)
-		j.saw(t.m, rollout.Slow, rollout.IsSlow(times))
+	c.recordSymptom(result.member, rollout.Failing, result.reply.isFailure())
+	if !result.reply.isFailure() {
+		ratio := c.h.rollouts.Times(c.service(), c.grant.Route.Name(), result.member.Target().Version(), took)
+		c.recordSymptom(result.member, rollout.Slow, rollout.IsSlow(ratio))
 	}
 }
--- a/ingress/version_test.go
+++ b/ingress/version_test.go
@@ -16,27 +16,27 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// versionSender counts the orders that each version gets; one version answers none.
+// versionSender counts the orders for each version. Targets of lostVersion refuse
+// connections.
 type versionSender struct {
-	dead   string
-	orders map[string]int
+	lostVersion string
+	orders      map[string]int
 }
 
-// Send answers one order.
 func (s *versionSender) Send(_ context.Context, o *Order) (*Reply, error) {
 	v := o.Target.Version()
-	if v == s.dead {
+	if v == s.lostVersion {
 		return nil, fmt.Errorf("%w: refused", upstream.ErrNotSent)
 	}
 	s.orders[v]++
 	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
 }
 
-// Probe finds nobody.
+// Probe fails.
 func (*versionSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
 
-// versionHandler is a handler before six old targets and as many new ones, with an order
-// to move there in a state.
+// versionHandler returns a handler with as many old as new targets and a roll-out in the
+// given state.
 func versionHandler(t *testing.T, s *versionSender, state rollout.State) *Handler {
 	h := modelHandler(t, s, ragworthitch.CallStream)
 	for i := range modelTargets {
@@ -48,15 +48,15 @@
 	return h
 }
 
-// The load: a service's targets of a new version are there beside all the old ones, and
-// less busy. Calls go where the roll-out says, not where there is most room, but for calls
-// that no target of the wanted version takes; one that was taken back gets none at all.
+// Calls go to the version that the roll-out's state selects, although the targets of the
+// new version are less busy. Another version gets calls only if the selected one takes
+// none, and a rolled-back version gets none at all.
 func TestCallsFollowRollout(t *testing.T) {
-	const calls = 400 // the operator allows a tenth of them and 50
+	const calls = 400 // the roll-out allows 10 % of them plus 50 as canary calls
 	tests := []struct {
-		state    rollout.State
-		dead     string
-		from, to int // orders for the new version
+		state                rollout.State
+		lostVersion          string
+		minOrders, maxOrders int // for the new version
 	}{
 		{rollout.Running, "none", 1, calls/10 + 50},
 		{rollout.Moving, "none", calls, calls},
@@ -67,31 +67,30 @@
 		{rollout.RolledBack, "", 0, 0},
 	}
 	for _, tt := range tests {
-		bubble(t, fmt.Sprintf("%v, version %q dead", tt.state, tt.dead), func(t *testing.T) {
-			s := &versionSender{dead: tt.dead, orders: map[string]int{}}
+		bubble(t, fmt.Sprintf("%v, version %q lost", tt.state, tt.lostVersion), func(t *testing.T) {
+			s := &versionSender{lostVersion: tt.lostVersion, orders: map[string]int{}}
 			h := versionHandler(t, s, tt.state)
 			for n := range calls {
 				serve(h, &Call{ID: fmt.Sprint(n), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			}
-			assert.GreaterOrEqual(t, s.orders["v2"], tt.from)
-			assert.LessOrEqual(t, s.orders["v2"], tt.to)
+			assert.GreaterOrEqual(t, s.orders["v2"], tt.minOrders)
+			assert.LessOrEqual(t, s.orders["v2"], tt.maxOrders)
 		})
 	}
 }
 
-// slowSender's new targets make events several times slower; all are read to beside other
-// prompts for a while.
-type slowSender struct{ slow time.Duration }
+// slowSender answers with streams; targets of the new version use newInterval between
+// events.
+type slowSender struct{ newInterval time.Duration }
 
-// Send answers one order.
 func (s *slowSender) Send(ctx context.Context, o *Order) (*Reply, error) {
-	gap := 40 * time.Millisecond
+	interval := 40 * time.Millisecond
 	if o.Target.Version() == "v2" {
-		gap = s.slow
+		interval = s.newInterval
 	}
 	events := func(emit func(Event) bool) error {
 		for n := int64(1); n <= 20; n++ {
-			if !clock.Sleep(ctx, gap) {
+			if !clock.Sleep(ctx, interval) {
 				return ctx.Err()
 			}
 			emit(Event{Raw: fmt.Appendf(nil, "id: %d\n\n", n), ID: n})
@@ -101,16 +100,16 @@
 	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe always finds the target.
+// Probe succeeds.
 func (*slowSender) Probe(context.Context, *registry.Member) error { return nil }
 
-// A version whose answers come four times slower is found out, and one that is as fast as
-// the old one is not.
-func TestSlowVersionIsFound(t *testing.T) {
+// A new version that generates events four times slower is rolled back; one as fast as the
+// old version is promoted.
+func TestSlowVersionRolledBack(t *testing.T) {
 	tests := []struct {
-		name  string
-		slow  time.Duration
-		state rollout.State
+		name        string
+		newInterval time.Duration
+		state       rollout.State
 	}{
 		{"as fast as the old one", 40 * time.Millisecond, rollout.Moving},
 		{"four times slower", 160 * time.Millisecond, rollout.RolledBack},
@@ -118,7 +117,7 @@
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
 			h := versionHandler(t, &versionSender{}, rollout.None)
-			h.send = &slowSender{slow: tt.slow}
+			h.sender = &slowSender{newInterval: tt.newInterval}
 			h.rollouts.Read()
 			h.rollouts.Status(rollout.Status{Order: 4, Service: "llm", To: "v2", State: rollout.Running, Row: 6})
 			got := rollout.Running
--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -10,12 +10,12 @@
 HERE = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..")
 # name: promise, and file, text, replacement of each change
 BUGS = {
-    "a token comes twice": ("ORDER", "ingress/run.go", "	if _, err := s.w.Write(e.Raw); err != nil {", "	if e.ID == 7 {\n\t\ts.w.Write(e.Raw)\n\t}\n	if _, err := s.w.Write(e.Raw); err != nil {"),
-    "a stream that goes on begins anew": ("ORDER", "ingress/run.go", "		if e.ID <= s.last {", "		if false && e.ID <= s.last {",
-        "ingress/stream.go", "	if s.last > 0 {\n		o.After", "	if s.last < 0 {\n		o.After", "ingress/run.go", "		if !s.follows(e.ID, r.fresh == 0) {", "		if false {"),
+    "a token comes twice": ("ORDER", "ingress/run.go", "	if _, err := s.w.Write(event.Raw); err != nil {", "	if event.ID == 7 {\n\t\ts.w.Write(event.Raw)\n\t}\n	if _, err := s.w.Write(event.Raw); err != nil {"),
+    "a stream that goes on begins anew": ("ORDER", "ingress/run.go", "		if event.ID <= s.lastID {", "		if false && event.ID <= s.lastID {",
+        "ingress/stream.go", "	if s.lastID > 0 {\n		o.After", "	if s.lastID < 0 {\n		o.After", "ingress/run.go", "		if !s.isNextID(event.ID, a.newEvents == 0) {", "		if false {"),
     "a cut stream looks complete": ("ORDER", "ingress/stream.go", "	panic(http.ErrAbortHandler)", "	return"),
-    "not run, though it may have": ("NOTRUN", "ingress/job.go", "	if !j.mayRun {", "	if j != nil {"),
-    "payments are sent again": ("TWICE", "ingress/plain.go", "			if j.mayRun && !safe {", "			if false && j.mayRun && !safe {"),
+    "not run, though it may have": ("NOTRUN", "ingress/job.go", "	if !c.mayHaveRun {", "	if c != nil {"),
+    "payments are sent again": ("TWICE", "ingress/plain.go", "			if c.mayHaveRun && !safe {", "			if false && c.mayHaveRun && !safe {"),
     "a removed key is good while the store is away": ("REVOKED", "desired/book.go", "		if age > b.ages.Key {", "		if false && age > b.ages.Key {"),
     "states are taken over late": ("CURRENT", "desired/book.go", "	b.cur.Store(compile(d))", "	time.AfterFunc(4*time.Second, func() { b.cur.Store(compile(d)) })"),
     "an older state is in force now and then": ("REVERTED", "desired/book.go", "	t := b.cur.Load()\n	g :=", "	t := b.cur.Load()\n	if p := b.old.Load(); p != nil && now%5 == 0 {\n		t = p\n	}\n	g :=",
