--- a/poison/book.go
+++ b/poison/book.go
@@ -15,136 +15,134 @@
 )
 
 const (
-	// deathsNeeded is how many targets have to have crashed under a request, at the
-	// least, until it is condemned: as many as the platform bears.
-	deathsNeeded = 3
-	// ranWellShare bounds how many runs may have ended well of late, for each crash,
-	// for a request that is condemned: one that many callers send all the time is at
-	// every target that crashes.
-	ranWellShare = 3
-	// manyOfOrg is how many condemned requests of one organisation have its others
-	// condemned at their first crash. Each different deadly request costs three
-	// targets otherwise, and one caller could send thousands.
-	manyOfOrg = 16
-	// maxKept bounds the deaths of one request that are kept in the store.
-	maxKept = 8
-	// maxOfOrg and maxSuspects bound what is remembered of one organisation and of
-	// all, some 500 bytes each: the oldest that is not condemned goes first, then the
-	// oldest.
-	maxOfOrg    = 128
-	maxSuspects = 2048
-	// forgetSuspect is how long crashes count against a request that is not condemned,
-	// and forgetCondemned how long one that is condemned is remembered if it does not
-	// come again, or its trials end badly.
-	forgetSuspect   = 10 * time.Minute
-	forgetCondemned = 24 * time.Hour
-	// A condemned request is tried once after firstHold, and if that ends badly after
-	// holdGrowth times as long, and so on. A wrong verdict is over within moments of
-	// a caller's next try; a right one costs three targets more in the first hour.
-	firstHold  = 30 * time.Second
-	holdGrowth = 10
+	// minCrashThreshold is the least number of crashed targets that quarantines a
+	// request.
+	minCrashThreshold = 3
+	// maxSuccessesPerCrash is the number of recent successful attempts per crash above
+	// which a request is not quarantined: a request that many callers send all the time
+	// is present at every target that crashes.
+	maxSuccessesPerCrash = 3
+	// strictOrgQuarantines is the number of quarantined requests of one organisation
+	// from which its other requests are quarantined at their first crash. It limits the
+	// damage of a caller that sends thousands of different poison requests.
+	strictOrgQuarantines = 16
+	// maxStoredCrashes bounds the crashes of one request that are written to the store.
+	maxStoredCrashes = 8
+	// maxSuspectsPerOrg and maxSuspects bound the records in memory, some 500 bytes
+	// each. Suspected requests are evicted before quarantined ones, and older before
+	// newer.
+	maxSuspectsPerOrg = 128
+	maxSuspects       = 2048
+	// suspectTTL is how long crashes count against a suspected request. quarantineTTL
+	// is how long a quarantined request is remembered after its last crash or probe.
+	suspectTTL    = 10 * time.Minute
+	quarantineTTL = 24 * time.Hour
+	// A quarantined request is probed once after firstProbeDelay; each failed probe
+	// multiplies the delay by probeDelayFactor.
+	firstProbeDelay  = 30 * time.Second
+	probeDelayFactor = 10
 )
 
-// Why a request is no suspect any more.
+// Causes in log lines about requests that are no longer tracked.
 const (
-	clearedRanWell   = "ran well"
-	clearedElsewhere = "cleared by another instance"
-	clearedForgotten = "forgotten"
-	clearedRoom      = "no room"
+	causeRanWell           = "ran well"
+	causeReleasedElsewhere = "released by another instance"
+	causeExpired           = "expired"
+	causeEvicted           = "evicted"
 )
 
-// Where an instance knows a death from.
+// Sources of a crash report.
 const (
-	SourceOwn   Source = "own"   // it saw the run
-	SourcePeer  Source = "peer"  // another instance told it
-	SourceStore Source = "store" // it was kept there
+	SourceOwn   Source = "own"   // observed by this instance
+	SourcePeer  Source = "peer"  // reported by a peer
+	SourceStore Source = "store" // read from the store
 )
 
 type (
-	// Source says where an instance knows a death from.
+	// Source says where a crash report comes from.
 	Source string
 
-	// Book is what one instance knows of requests that crash targets. The zero
-	// value knows nothing and is ready to use.
+	// Book tracks the requests that crash targets. The zero value is empty and ready to
+	// use.
 	Book struct {
 		Log   zerolog.Logger
-		Scope tally.Scope // nil: nothing is counted
-		// Dry has crashes noted and told, and no request condemned, for comparison.
+		Scope tally.Scope // nil: no metrics
+		// Dry records and reports crashes but quarantines no request.
 		Dry bool
 
-		size     atomic.Int32 // of suspects: most calls need not look further
-		mu       sync.Mutex
-		suspects map[Fingerprint]*suspect
-		absolved map[Fingerprint]absolution
-		waiting  map[Fingerprint]map[chan struct{}]bool // runs that end when their request is condemned
-		news     newsLog
-		edits    []Edit        // to be made in the store
-		changed  chan struct{} // closed at the next edit; nil until asked for
-		wells    wells
-		losses   losses
+		suspectCount atomic.Int32 // len(suspects), read without the lock
+		mu           sync.Mutex
+		suspects     map[Fingerprint]*suspect
+		released     map[Fingerprint]release
+		waiters      map[Fingerprint]map[chan struct{}]bool // closed when the request is quarantined
+		crashLog     crashLog
+		pendingEdits []Edit        // not yet written to the store
+		editQueued   chan struct{} // closed at the next edit; nil while nobody waits
+		successes    successCounter
+		losses       lossTable
 	}
 
-	// suspect is a request under which targets have crashed.
+	// suspect is a request under which targets have crashed; it may be quarantined.
 	suspect struct {
-		print     Fingerprint
-		org       string
-		service   string
-		deaths    map[ragworthitch.Boot]*death
-		condemned bool
-		enough    int   // deaths that were needed to condemn it
-		trials    int   // made since it was condemned
-		trialsRow int64 // version of the row of the store that counts them; 0: there is none
-		changed   clock.Time
-	}
-
-	// death is what is known of one crash.
-	death struct {
+		print           Fingerprint
+		org             string
+		service         string
+		crashes         map[ragworthitch.Boot]*crash
+		quarantined     bool
+		threshold       int   // crashes that were needed for the quarantine
+		probes          int   // since the quarantine
+		probeRowVersion int64 // of the store's row that counts the probes; 0: no row
+		updatedAt       clock.Time
+	}
+
+	// crash is one crash of a suspect.
+	crash struct {
 		Death
-		at     clock.Time // when it became known
-		own    bool       // this instance keeps it in the store
-		kept   bool       // that is under way or done
-		stored bool       // the store has it
+		knownAt      clock.Time // when this instance learned of the crash
+		observedHere bool       // this instance writes the crash to the store
+		storeQueued  bool       // the write is queued or done
+		stored       bool       // the store has the crash
 	}
 
-	// weighed is a suspect with the deaths that count.
-	weighed struct {
+	// countedSuspect is a suspect with the crashes that count against it.
+	countedSuspect struct {
 		*suspect
-		deaths []*death
+		crashes []*crash
 	}
 
-	// absolution is that a request has run well: the crashes from before don't count
-	// any more, whoever tells them later.
-	absolution struct {
+	// release records the crashes of a request from before it ran well. They don't
+	// count any more, whoever reports them later.
+	release struct {
 		boots map[ragworthitch.Boot]bool
 		at    clock.Time
 	}
 
-	// Verdict is what is known of a request that is to be run.
+	// Verdict is the state of a request that is about to be sent.
 	Verdict struct {
-		Deaths    int           // targets that have crashed under it
-		Condemned bool          // it is not to be run
-		Wait      time.Duration // until it may be tried
-		Trial     Trial         // to be claimed for that
-		versions  []string      // of the targets that crashed
+		Deaths          int           // targets that have crashed under the request
+		Condemned       bool          // quarantined: the request must not be sent
+		Wait            time.Duration // until the next probe is due
+		Trial           Trial         // the next probe, to be claimed before it is sent
+		crashedVersions []string      // of the targets that crashed
 	}
 
-	// Trial is one try of a condemned request, which one instance may make.
+	// Trial is one probe of a quarantined request. Only one instance may send it.
 	Trial struct {
 		Print Fingerprint
-		Count int   // of trials, this one included
-		Row   int64 // version of the row that counts them, before it; 0: there is none
+		Count int   // of probes, this one included
+		Row   int64 // version of the row that counts the probes, before this one; 0: no row
 	}
 )
 
-// Ran reports whether a target with a version of the software has crashed under the
-// request; a version that is not told is taken for one that has.
+// Ran reports whether a target of the version has crashed under the request. An unknown
+// version counts as one that has.
 func (v Verdict) Ran(version string) bool {
-	return version == "" || slices.Contains(v.versions, version)
+	return version == "" || slices.Contains(v.crashedVersions, version)
 }
 
-// Judge is what is known of a request.
+// Judge returns the state of a request.
 func (b *Book) Judge(f Fingerprint, now clock.Time) Verdict {
-	if b.size.Load() == 0 {
+	if b.suspectCount.Load() == 0 {
 		return Verdict{}
 	}
 	b.mu.Lock()
@@ -153,347 +151,351 @@
 	if s == nil {
 		return Verdict{}
 	}
-	v := Verdict{Deaths: len(s.counted()), Condemned: s.condemned}
-	if !s.condemned {
+	v := Verdict{Deaths: len(s.countedCrashes()), Condemned: s.quarantined}
+	if !s.quarantined {
 		return v
 	}
-	v.Wait = max(0, s.changed.Add(s.hold()).Sub(now))
-	v.Trial = Trial{Print: f, Count: s.trials + 1, Row: s.trialsRow}
-	for _, d := range s.deaths {
-		v.versions = append(v.versions, d.Version)
+	v.Wait = max(0, s.updatedAt.Add(s.probeDelay()).Sub(now))
+	v.Trial = Trial{Print: f, Count: s.probes + 1, Row: s.probeRowVersion}
+	for _, d := range s.crashes {
+		v.crashedVersions = append(v.crashedVersions, d.Version)
 	}
 	return v
 }
 
-// hold is for how long a condemned request is not tried.
-func (s *suspect) hold() time.Duration {
-	d := firstHold
-	for range s.trials {
-		d = min(d*holdGrowth, forgetCondemned)
+// probeDelay returns the time from the last change of a quarantined request to its next
+// probe.
+func (s *suspect) probeDelay() time.Duration {
+	d := firstProbeDelay
+	for range s.probes {
+		d = min(d*probeDelayFactor, quarantineTTL)
 	}
 	return d
 }
 
-// counted are the deaths that speak against a request: those of targets that were
-// lost alone, and of those that were lost with others if several of them were running
-// it, for different callers or tries. A failure of a zone strikes one run of it.
-func (s *suspect) counted() []*death {
-	var out []*death
-	for _, d := range s.deaths {
-		if !d.Together || s.several(d) {
+// countedCrashes returns the crashes that count against a request: those of targets
+// that were lost alone, and those of targets that were lost with others if several of
+// them were running attempts of the request. A zone outage usually hits a single
+// attempt.
+func (s *suspect) countedCrashes() []*crash {
+	var out []*crash
+	for _, d := range s.crashes {
+		if !d.Together || s.hasConcurrentCrash(d) {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// several reports whether another try of the request lost another target at the time
-// of a death.
-func (s *suspect) several(d *death) bool {
-	for _, o := range s.deaths {
-		apart := max(d.at.Sub(o.at), o.at.Sub(d.at))
-		if o.Boot != d.Boot && o.Call != d.Call && apart < TogetherTime {
+// hasConcurrentCrash reports whether another call with the same request lost another
+// target at about the same time.
+func (s *suspect) hasConcurrentCrash(d *crash) bool {
+	for _, o := range s.crashes {
+		interval := max(d.knownAt.Sub(o.knownAt), o.knownAt.Sub(d.knownAt))
+		if o.Boot != d.Boot && o.Call != d.Call && interval < TogetherTime {
 			return true
 		}
 	}
 	return false
 }
 
-// Blames reports whether the crash of a target is taken for the doing of a request.
+// Blames reports whether the crash of a target is attributed to any request.
 func (b *Book) Blames(boot ragworthitch.Boot) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.suspects {
-		if s.deaths[boot] != nil {
+		if s.crashes[boot] != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// Await returns a channel that is closed when a request is condemned, or if it is
-// already, and what ends the waiting.
-func (b *Book) Await(f Fingerprint) (condemned <-chan struct{}, stop func()) {
+// Await returns a channel that is closed when the request is quarantined, at once if it
+// already is, and a function that cancels the wait.
+func (b *Book) Await(f Fingerprint) (quarantined <-chan struct{}, stop func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ch := make(chan struct{})
-	if s := b.suspects[f]; s != nil && s.condemned {
+	if s := b.suspects[f]; s != nil && s.quarantined {
 		close(ch)
 		return ch, func() {}
 	}
-	if b.waiting == nil {
-		b.waiting = map[Fingerprint]map[chan struct{}]bool{}
+	if b.waiters == nil {
+		b.waiters = map[Fingerprint]map[chan struct{}]bool{}
 	}
-	if b.waiting[f] == nil {
-		b.waiting[f] = map[chan struct{}]bool{}
+	if b.waiters[f] == nil {
+		b.waiters[f] = map[chan struct{}]bool{}
 	}
-	b.waiting[f][ch] = true
+	b.waiters[f][ch] = true
 	return ch, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		delete(b.waiting[f], ch)
-		if len(b.waiting[f]) == 0 {
-			delete(b.waiting, f)
+		delete(b.waiters[f], ch)
+		if len(b.waiters[f]) == 0 {
+			delete(b.waiters, f)
 		}
 	}
 }
 
-// Died takes a death that this instance saw or was told of, and reports whether it
-// is news.
-func (b *Book) Died(d Death, from Source, now clock.Time) bool {
-	if from == SourceOwn {
-		d.Well = b.wells.lately(d.Print, now)
+// Died records a crash that this instance observed or a peer reported. It reports
+// whether the crash was unknown.
+func (b *Book) Died(d Death, source Source, now clock.Time) bool {
+	if source == SourceOwn {
+		d.Well = b.successes.recent(d.Print, now)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.put(d, from, now) {
+	if !b.record(d, source, now) {
 		return false
 	}
-	b.news.add(d)
-	b.weigh(now)
-	b.keep(b.suspects[d.Print])
+	b.crashLog.add(d)
+	b.evaluate(now)
+	b.storeCrashes(b.suspects[d.Print])
 	return true
 }
 
-// keep has the deaths that this instance saw, and that count, kept in the store;
-// b.mu is held.
-func (b *Book) keep(s *suspect) {
-	for _, d := range s.counted() {
-		if d.own && !d.kept && len(s.deaths) <= maxKept {
-			d.kept = true
-			b.edit(Edit{Death: d.Death})
+// storeCrashes queues the crashes that this instance observed, and that count, for the
+// store; b.mu is held.
+func (b *Book) storeCrashes(s *suspect) {
+	for _, d := range s.countedCrashes() {
+		if d.observedHere && !d.storeQueued && len(s.crashes) <= maxStoredCrashes {
+			d.storeQueued = true
+			b.queueEdit(Edit{Death: d.Death})
 		}
 	}
 }
 
-// put notes a death, if it is news; b.mu is held.
-func (b *Book) put(d Death, from Source, now clock.Time) bool {
-	if b.absolved[d.Print].boots[d.Boot] {
+// record adds a crash and reports whether it was unknown; b.mu is held.
+func (b *Book) record(d Death, source Source, now clock.Time) bool {
+	if b.released[d.Print].boots[d.Boot] {
 		return false
 	}
 	s := b.suspects[d.Print]
 	if s == nil {
-		b.makeRoom(d.Org, from == SourceOwn)
-		s = &suspect{print: d.Print, org: d.Org, service: d.Service, deaths: map[ragworthitch.Boot]*death{}}
+		b.evictFor(d.Org, source == SourceOwn)
+		s = &suspect{print: d.Print, org: d.Org, service: d.Service, crashes: map[ragworthitch.Boot]*crash{}}
 		b.suspects[d.Print] = s
-		b.size.Store(int32(len(b.suspects)))
+		b.suspectCount.Store(int32(len(b.suspects)))
 	}
-	if known := s.deaths[d.Boot]; known != nil {
-		known.stored = known.stored || from == SourceStore
+	if known := s.crashes[d.Boot]; known != nil {
+		known.stored = known.stored || source == SourceStore
 		return false
 	}
-	s.deaths[d.Boot] = &death{Death: d, at: now, own: from == SourceOwn, stored: from == SourceStore}
-	s.changed = now
-	b.count("poison_deaths")
+	s.crashes[d.Boot] = &crash{Death: d, knownAt: now, observedHere: source == SourceOwn, stored: source == SourceStore}
+	s.updatedAt = now
+	b.incCounter("poison_deaths")
 	b.Log.Warn().Stringer("fingerprint", d.Print).Str("org", d.Org).Str("service", d.Service).Str("target", d.Boot.ID()).
-		Str("call", d.Call).Str("targetVersion", d.Version).Bool("together", d.Together).Str("from", string(from)).Int("deaths", len(s.counted())).Msg("poison: target crashed as it began a request")
+		Str("call", d.Call).Str("targetVersion", d.Version).Bool("together", d.Together).Str("from", string(source)).Int("deaths", len(s.countedCrashes())).Msg("poison: target crashed as it began a request")
 	return true
 }
 
-// RanWell notes that a run of a request has ended well, or has gone on for longer
-// than one that crashes its target: what counted against it does not any more.
+// RanWell records that an attempt succeeded, or outlived the time in which a poison
+// request crashes its target. The request is released.
 func (b *Book) RanWell(f Fingerprint, now clock.Time) {
-	b.wells.note(f, now)
-	if b.size.Load() == 0 {
+	b.successes.add(f, now)
+	if b.suspectCount.Load() == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.suspects[f]; s != nil {
-		b.absolve(s, now)
-		b.clear(s, clearedRanWell, true)
-		b.weigh(now)
+		b.recordRelease(s, now)
+		b.clear(s, causeRanWell, true)
+		b.evaluate(now)
 	}
 }
 
-// absolve remembers that a suspect's crashes don't count; b.mu is held.
-func (b *Book) absolve(s *suspect, now clock.Time) {
-	if b.absolved == nil || len(b.absolved) >= maxSuspects {
-		b.absolved = map[Fingerprint]absolution{}
+// recordRelease keeps the known crashes of a suspect from counting again; b.mu is held.
+func (b *Book) recordRelease(s *suspect, now clock.Time) {
+	if b.released == nil || len(b.released) >= maxSuspects {
+		b.released = map[Fingerprint]release{}
 	}
-	a := absolution{boots: b.absolved[s.print].boots, at: now}
-	if a.boots == nil {
-		a.boots = map[ragworthitch.Boot]bool{}
+	r := release{boots: b.released[s.print].boots, at: now}
+	if r.boots == nil {
+		r.boots = map[ragworthitch.Boot]bool{}
 	}
-	for boot := range s.deaths {
-		a.boots[boot] = true
+	for boot := range s.crashes {
+		r.boots[boot] = true
 	}
-	b.absolved[s.print] = a
+	b.released[s.print] = r
 }
 
-// clear forgets a suspect, also in the store if drop is set; b.mu is held.
-func (b *Book) clear(s *suspect, why string, drop bool) {
+// clear stops tracking a suspect, and deletes its rows in the store if dropRows
+// is set; b.mu is held.
+func (b *Book) clear(s *suspect, cause string, dropRows bool) {
 	delete(b.suspects, s.print)
-	b.size.Store(int32(len(b.suspects)))
-	if rows := s.rows(); drop && len(rows) > 0 {
-		b.edit(Edit{Drop: rows})
+	b.suspectCount.Store(int32(len(b.suspects)))
+	if rows := s.storedRows(); dropRows && len(rows) > 0 {
+		b.queueEdit(Edit{Drop: rows})
 	}
-	if s.condemned {
-		b.count("poison_cleared")
+	if s.quarantined {
+		b.incCounter("poison_cleared")
 	}
-	b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("deaths", len(s.deaths)).
-		Bool("wasCondemned", s.condemned).Int("trials", s.trials).Str("cause", why).Msg("poison: request is no suspect any more")
+	b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("deaths", len(s.crashes)).
+		Bool("wasCondemned", s.quarantined).Int("trials", s.probes).Str("cause", cause).Msg("poison: request is no longer tracked")
 }
 
-// weigh decides which suspects are condemned. A death speaks against the request
-// that has crashed most of those that were aboard; b.mu is held.
-func (b *Book) weigh(now clock.Time) {
-	var all []weighed
-	condemned := map[string]int{} // by organisation
+// evaluate decides which suspects are quarantined. Suspects are ranked by their
+// crashes: a crash that a quarantined request with more crashes explains is not
+// attributed to the bystanders on the same target; b.mu is held.
+func (b *Book) evaluate(now clock.Time) {
+	var ranked []countedSuspect
+	quarantinedByOrg := map[string]int{}
 	blamed := map[ragworthitch.Boot]bool{}
 	for _, s := range b.suspects {
-		deaths := s.counted()
-		all = append(all, weighed{s, deaths})
-		if s.condemned {
-			condemned[s.org]++
+		crashes := s.countedCrashes()
+		ranked = append(ranked, countedSuspect{s, crashes})
+		if s.quarantined {
+			quarantinedByOrg[s.org]++
 		}
-		for _, d := range deaths {
+		for _, d := range crashes {
 			blamed[d.Boot] = true
 		}
 	}
-	slices.SortFunc(all, func(x, y weighed) int {
-		return cmp.Or(cmp.Compare(len(y.deaths), len(x.deaths)), slices.Compare(x.print[:], y.print[:]))
+	slices.SortFunc(ranked, func(x, y countedSuspect) int {
+		return cmp.Or(cmp.Compare(len(y.crashes), len(x.crashes)), slices.Compare(x.print[:], y.print[:]))
 	})
-	culprit := map[ragworthitch.Boot]int{} // how many targets the one has crashed that explains a death
-	for _, s := range all {
-		enough := needed(b.losses.rate(s.service, func(boot ragworthitch.Boot) bool { return blamed[boot] }, now))
-		if condemned[s.org] >= manyOfOrg {
-			enough = 1
+	maxCrashes := map[ragworthitch.Boot]int{} // most crashes of a quarantined request that explains the crash
+	for _, s := range ranked {
+		threshold := crashThreshold(b.losses.independentRate(s.service, func(boot ragworthitch.Boot) bool { return blamed[boot] }, now))
+		if quarantinedByOrg[s.org] >= strictOrgQuarantines {
+			threshold = 1
 		}
-		if s.condemned {
-			enough = min(enough, s.enough)
+		if s.quarantined {
+			threshold = min(threshold, s.threshold)
 		}
-		own := 0
-		for _, d := range s.deaths {
-			if culprit[d.Boot] <= len(s.deaths) {
-				own++
+		attributed := 0
+		for _, d := range s.crashes {
+			if maxCrashes[d.Boot] <= len(s.crashes) {
+				attributed++
 			}
 		}
-		guilty := !b.Dry && own >= enough && b.wellOf(s.suspect, now) <= ranWellShare*len(s.deaths)
-		if guilty {
-			for _, d := range s.deaths {
-				culprit[d.Boot] = max(culprit[d.Boot], len(s.deaths))
+		quarantine := !b.Dry && attributed >= threshold && b.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)
+		if quarantine {
+			for _, d := range s.crashes {
+				maxCrashes[d.Boot] = max(maxCrashes[d.Boot], len(s.crashes))
 			}
 		}
-		b.set(s.suspect, guilty, now)
-		s.enough = enough
+		b.setQuarantined(s.suspect, quarantine, now)
+		s.threshold = threshold
 	}
 }
 
-// wellOf is how many runs of a request have ended well of late, here or at an instance
-// that saw a target crash under it.
-func (b *Book) wellOf(s *suspect, now clock.Time) int {
-	n := b.wells.lately(s.print, now)
-	for _, d := range s.deaths {
+// recentSuccesses returns how many attempts of a request succeeded recently, here or at
+// an instance that saw a target crash under it, whichever is more.
+func (b *Book) recentSuccesses(s *suspect, now clock.Time) int {
+	n := b.successes.recent(s.print, now)
+	for _, d := range s.crashes {
 		n = max(n, d.Well)
 	}
 	return n
 }
 
-// set condemns a suspect, or takes that back; b.mu is held.
-func (b *Book) set(s *suspect, guilty bool, now clock.Time) {
-	if guilty == s.condemned {
+// setQuarantined changes the state of a suspect, if it differs; b.mu is held.
+func (b *Book) setQuarantined(s *suspect, quarantined bool, now clock.Time) {
+	if quarantined == s.quarantined {
 		return
 	}
-	s.condemned, s.changed = guilty, now
-	if !guilty {
-		b.count("poison_cleared")
-		b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("deaths", len(s.deaths)).
-			Int("ranWellLately", b.wellOf(s, now)).Msg("poison: request is not condemned any more")
+	s.quarantined, s.updatedAt = quarantined, now
+	if !quarantined {
+		b.incCounter("poison_cleared")
+		b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("deaths", len(s.crashes)).
+			Int("ranWellLately", b.recentSuccesses(s, now)).Msg("poison: quarantined request released")
 		return
 	}
-	b.count("poison_condemned")
-	b.Log.Warn().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Strs("targets", s.targets()).
-		Int("ranWellLately", b.wellOf(s, now)).Int("trials", s.trials).Dur("hold", s.hold()).Msg("poison: request condemned")
-	for ch := range b.waiting[s.print] {
+	b.incCounter("poison_condemned")
+	b.Log.Warn().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Strs("targets", s.targetIDs()).
+		Int("ranWellLately", b.recentSuccesses(s, now)).Int("trials", s.probes).Dur("hold", s.probeDelay()).Msg("poison: request quarantined")
+	for ch := range b.waiters[s.print] {
 		close(ch)
 	}
-	delete(b.waiting, s.print)
+	delete(b.waiters, s.print)
 }
 
-// targets are the ids of the targets whose crashes count.
-func (s *suspect) targets() []string {
+// targetIDs returns the ids of the targets whose crashes count, sorted.
+func (s *suspect) targetIDs() []string {
 	var out []string
-	for _, d := range s.counted() {
+	for _, d := range s.countedCrashes() {
 		out = append(out, d.Boot.ID())
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Claim takes a trial for this instance, unless another one has been made since the
-// verdict: no other will be made for a while, however this one ends.
+// Claim takes a probe for this instance. It returns false if another probe has been
+// made since the verdict. After a claim no probe is due until the longer delay is over.
 func (b *Book) Claim(t Trial, row int64, now clock.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[t.Print]
-	if s == nil || s.trials >= t.Count {
+	if s == nil || s.probes >= t.Count {
 		return false
 	}
-	b.tried(s, t.Count, row, now)
+	b.recordProbe(s, t.Count, row, now)
 	return true
 }
 
-// tried notes a trial; b.mu is held.
-func (b *Book) tried(s *suspect, count int, row int64, now clock.Time) {
-	s.trials, s.trialsRow, s.changed = count, max(s.trialsRow, row), now
-	b.count("poison_trials")
-	b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("trials", count).Dur("hold", s.hold()).
-		Msg("poison: request is tried once")
+// recordProbe counts a probe; b.mu is held.
+func (b *Book) recordProbe(s *suspect, count int, row int64, now clock.Time) {
+	s.probes, s.probeRowVersion, s.updatedAt = count, max(s.probeRowVersion, row), now
+	b.incCounter("poison_trials")
+	b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("trials", count).Dur("hold", s.probeDelay()).
+		Msg("poison: quarantined request is probed once")
 }
 
-// makeRoom forgets suspects until there is room for one of an organisation, also in
-// the store if drop is set; b.mu is held.
-func (b *Book) makeRoom(org string, drop bool) {
+// evictFor evicts suspects until there is room for one more of an organisation, and
+// deletes their rows in the store if dropRows is set; b.mu is held.
+func (b *Book) evictFor(org string, dropRows bool) {
 	if b.suspects == nil {
 		b.suspects = map[Fingerprint]*suspect{}
 	}
-	ofOrg := 0
+	orgSuspects := 0
 	for _, s := range b.suspects {
 		if s.org == org {
-			ofOrg++
+			orgSuspects++
 		}
 	}
-	if ofOrg >= maxOfOrg {
-		b.clear(b.oldest(func(s *suspect) bool { return s.org == org }), clearedRoom, drop)
+	if orgSuspects >= maxSuspectsPerOrg {
+		b.clear(b.evictionCandidate(func(s *suspect) bool { return s.org == org }), causeEvicted, dropRows)
 	}
 	if len(b.suspects) >= maxSuspects {
-		b.clear(b.oldest(func(*suspect) bool { return true }), clearedRoom, drop)
+		b.clear(b.evictionCandidate(func(*suspect) bool { return true }), causeEvicted, dropRows)
 	}
 }
 
-// oldest is the suspect that is forgotten first of some; b.mu is held.
-func (b *Book) oldest(of func(*suspect) bool) *suspect {
+// evictionCandidate returns the suspect to evict among those that match; b.mu is held.
+func (b *Book) evictionCandidate(match func(*suspect) bool) *suspect {
 	var out *suspect
 	for _, s := range b.suspects {
-		if of(s) && (out == nil || out.condemned && !s.condemned || out.condemned == s.condemned && s.changed < out.changed) {
+		if match(s) && (out == nil || out.quarantined && !s.quarantined || out.quarantined == s.quarantined && s.updatedAt < out.updatedAt) {
 			out = s
 		}
 	}
 	return out
 }
 
-// Forget drops what is too old to count, also from the store.
+// Forget removes expired records, also from the store.
 func (b *Book) Forget(now clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.suspects {
-		age := forgetSuspect
-		if s.condemned {
-			age = forgetCondemned
+		ttl := suspectTTL
+		if s.quarantined {
+			ttl = quarantineTTL
 		}
-		if now.Sub(s.changed) > age {
-			b.clear(s, clearedForgotten, true)
+		if now.Sub(s.updatedAt) > ttl {
+			b.clear(s, causeExpired, true)
 		}
 	}
-	for f, a := range b.absolved {
-		if now.Sub(a.at) > forgetSuspect {
-			delete(b.absolved, f)
+	for f, r := range b.released {
+		if now.Sub(r.at) > suspectTTL {
+			delete(b.released, f)
 		}
 	}
 }
 
-func (b *Book) count(name string) {
+func (b *Book) incCounter(name string) {
 	if b.Scope != nil {
 		b.Scope.Counter(name).Inc(1)
 	}
--- a/poison/book_test.go
+++ b/poison/book_test.go
@@ -18,43 +18,43 @@
 	"github.com/ragworthitch/ragworthitch/rwtest/cases"
 )
 
-// printOf is the fingerprint of a request with a name.
-func printOf(name string) Fingerprint { return Of(name[:1], "POST", "h", "/"+name, nil) }
+func fingerprintOf(name string) Fingerprint { return Of(name[:1], "POST", "h", "/"+name, nil) }
 
-// deathOf is a death of a target, with a version if one is told.
-func deathOf(name, target string, version ...string) Death {
-	d := Death{Print: printOf(name), Boot: ragworthitch.NewBoot(target, 0), Org: name[:1], Service: "llm", Version: "v1"}
-	if len(version) > 0 {
-		d.Version = version[0]
+// crashOf returns a crash of a target, with a version and a number of recent successes
+// if they are given.
+func crashOf(name, target string, versionAndSuccesses ...string) Death {
+	d := Death{Print: fingerprintOf(name), Boot: ragworthitch.NewBoot(target, 0), Org: name[:1], Service: "llm", Version: "v1"}
+	if len(versionAndSuccesses) > 0 {
+		d.Version = versionAndSuccesses[0]
 	}
-	if len(version) > 1 {
-		d.Well, _ = strconv.Atoi(version[1])
+	if len(versionAndSuccesses) > 1 {
+		d.Well, _ = strconv.Atoi(versionAndSuccesses[1])
 	}
 	return d
 }
 
 func TestBook(t *testing.T) {
-	type bookCase struct {
+	type testCase struct {
 		Name  string
 		Steps []string
 	}
-	for _, c := range cases.Load[bookCase](t, "testdata/book.yaml") {
+	for _, c := range cases.Load[testCase](t, "testdata/book.yaml") {
 		t.Run(c.Name, func(t *testing.T) {
 			var b Book
 			for _, s := range c.Steps {
-				step(t, &b, s)
+				runStep(t, &b, s)
 			}
 		})
 	}
 }
 
-// step plays one step of a case.
-func step(t *testing.T, b *Book, text string) {
+// runStep runs a step of a case; testdata/book.yaml describes the steps.
+func runStep(t *testing.T, b *Book, text string) {
 	f := strings.Fields(text)
-	at, err := time.ParseDuration(f[0])
+	elapsed, err := time.ParseDuration(f[0])
 	require.NoError(t, err, text)
-	now := clock.Time(time.Hour).Add(at)
-	what, args := f[1], f[2:]
+	now := clock.Time(time.Hour).Add(elapsed)
+	verb, args := f[1], f[2:]
 	n := func() int {
 		v, err := strconv.Atoi(args[1])
 		require.NoError(t, err, text)
@@ -62,168 +62,167 @@
 	}
 	var v Verdict
 	if len(args) > 0 {
-		v = b.Judge(printOf(args[0]), now)
+		v = b.Judge(fingerprintOf(args[0]), now)
 	}
-	switch what {
-	case "died":
-		b.Died(deathOf(args[0], args[1], args[2:]...), SourceOwn, now)
+	switch verb {
+	case "crashed":
+		b.Died(crashOf(args[0], args[1], args[2:]...), SourceOwn, now)
 	case "lost":
-		d := deathOf(args[0], args[1])
+		d := crashOf(args[0], args[1])
 		d.Call, d.Together = args[2], true
 		b.Died(d, SourceOwn, now)
-	case "told":
-		b.Died(deathOf(args[0], args[1], args[2:]...), SourcePeer, now)
-	case "kept":
+	case "reported":
+		b.Died(crashOf(args[0], args[1], args[2:]...), SourcePeer, now)
+	case "stored":
 		b.Change([]Row{rowOf(args[0], args[1])}, now)
-	case "dropped":
+	case "deleted":
 		var rows []Row
 		for _, target := range args[1:] {
 			rows = append(rows, Row{RowKey: rowOf(args[0], target).RowKey, Gone: true})
 		}
 		b.Change(rows, now)
-	case "whole":
+	case "snapshot":
 		var rows []Row
 		for i := 0; i < len(args); i += 2 {
 			rows = append(rows, rowOf(args[i], args[i+1]))
 		}
 		b.Replace(rows, now)
-	case "ran":
+	case "succeeded":
 		times := 1
 		if len(args) > 1 {
 			times = n()
 		}
 		for range times {
-			b.RanWell(printOf(args[0]), now)
+			b.RanWell(fingerprintOf(args[0]), now)
 		}
-	case "tried":
-		b.Change([]Row{{RowKey: RowKey{Print: printOf(args[0])}, Trials: n(), Version: 7}}, now)
+	case "probed":
+		b.Change([]Row{{RowKey: RowKey{Print: fingerprintOf(args[0])}, Trials: n(), Version: 7}}, now)
 	case "claimed", "unclaimed":
-		assert.Equal(t, what == "claimed", b.Claim(Trial{Print: printOf(args[0]), Count: n()}, 7, now), text)
-	case "forget":
+		assert.Equal(t, verb == "claimed", b.Claim(Trial{Print: fingerprintOf(args[0]), Count: n()}, 7, now), text)
+	case "expire":
 		b.Forget(now)
-	case "free":
+	case "untracked":
 		assert.Equal(t, Verdict{}, v, text)
-	case "suspect":
+	case "suspected":
 		assert.Equal(t, Verdict{Deaths: n()}, v, text)
-	case "condemned":
+	case "quarantined":
 		wait, err := time.ParseDuration(args[1])
 		require.NoError(t, err, text)
 		assert.True(t, v.Condemned, text)
 		assert.Equal(t, wait, v.Wait, text)
-	case "trial":
+	case "probe":
 		assert.True(t, v.Condemned, text)
 		assert.Zero(t, v.Wait, text)
 		assert.Equal(t, n(), v.Trial.Count, text)
-	case "ran-version", "new-version":
-		assert.Equal(t, what == "ran-version", v.Ran(args[1]), text)
+	case "crashed-version", "other-version":
+		assert.Equal(t, verb == "crashed-version", v.Ran(args[1]), text)
 	default:
 		t.Fatalf("unknown step: %s", text)
 	}
 }
 
 func rowOf(name, target string) Row {
-	d := deathOf(name, target)
+	d := crashOf(name, target)
 	return Row{RowKey: RowKey{Print: d.Print, Boot: d.Boot}, Death: d, Version: 3}
 }
 
-// Runs that wait are woken when their request is condemned, and only then.
+// Waiters are woken when their request is quarantined, and only then.
 func TestAwait(t *testing.T) {
 	var b Book
-	condemned, stop := b.Await(printOf("a"))
+	quarantined, stop := b.Await(fingerprintOf("a"))
 	defer stop()
-	other, stopOther := b.Await(printOf("b"))
+	other, stopOther := b.Await(fingerprintOf("b"))
 	defer stopOther()
-	for i := range deathsNeeded {
+	for i := range minCrashThreshold {
 		select {
-		case <-condemned:
-			t.Fatalf("woken after %d deaths", i)
+		case <-quarantined:
+			t.Fatalf("woken after %d crashes", i)
 		default:
 		}
-		b.Died(deathOf("a", fmt.Sprint("t", i)), SourcePeer, 1)
+		b.Died(crashOf("a", fmt.Sprint("t", i)), SourcePeer, 1)
 	}
-	<-condemned
+	<-quarantined
 	select {
 	case <-other:
-		t.Fatal("another request's run is woken")
+		t.Fatal("a waiter of another request is woken")
 	default:
 	}
-	later, stopLater := b.Await(printOf("a"))
+	later, stopLater := b.Await(fingerprintOf("a"))
 	defer stopLater()
 	<-later
 }
 
-// What an instance saw is to be kept in the store, and to be dropped when it does
-// not count any more; what could not be written is given back in its order.
+// Crashes that this instance observed are written to the store and deleted once they
+// don't count any more. Failed writes are returned in their order.
 func TestEdits(t *testing.T) {
 	var b Book
 	_, more := b.Take()
-	b.Died(deathOf("a", "t1"), SourceOwn, 1)
+	b.Died(crashOf("a", "t1"), SourceOwn, 1)
 	<-more
-	b.Died(deathOf("a", "t2"), SourcePeer, 1)
+	b.Died(crashOf("a", "t2"), SourcePeer, 1)
 	edits, more := b.Take()
-	assert.Equal(t, []Edit{{Death: deathOf("a", "t1")}}, edits, "what others saw they keep")
-	b.RanWell(printOf("a"), 2)
+	assert.Equal(t, []Edit{{Death: crashOf("a", "t1")}}, edits, "crashes that a peer observed are written by the peer")
+	b.RanWell(fingerprintOf("a"), 2)
 	<-more
 	b.Return(edits)
 	edits, _ = b.Take()
 	require.Len(t, edits, 2)
-	assert.Equal(t, deathOf("a", "t1"), edits[0].Death)
+	assert.Equal(t, crashOf("a", "t1"), edits[0].Death)
 	assert.Equal(t, []RowKey{rowOf("a", "t1").RowKey}, edits[1].Drop)
 }
 
-// Deaths are told on to others once, and not when they don't count any more.
+// Crashes are reported to peers once, and not once they don't count any more.
 func TestSince(t *testing.T) {
 	var b Book
-	b.Died(deathOf("a", "t1"), SourceOwn, 1)
-	b.Died(deathOf("b", "t1"), SourcePeer, 1)
-	news, n := b.Since(0)
-	assert.Equal(t, []Death{deathOf("a", "t1"), deathOf("b", "t1")}, news)
-	news, _ = b.Since(n)
-	assert.Empty(t, news)
-	b.RanWell(printOf("a"), 2)
-	news, _ = b.Since(0)
-	assert.Equal(t, []Death{deathOf("b", "t1")}, news)
+	b.Died(crashOf("a", "t1"), SourceOwn, 1)
+	b.Died(crashOf("b", "t1"), SourcePeer, 1)
+	crashes, n := b.Since(0)
+	assert.Equal(t, []Death{crashOf("a", "t1"), crashOf("b", "t1")}, crashes)
+	crashes, _ = b.Since(n)
+	assert.Empty(t, crashes)
+	b.RanWell(fingerprintOf("a"), 2)
+	crashes, _ = b.Since(0)
+	assert.Equal(t, []Death{crashOf("b", "t1")}, crashes)
 }
 
-// The load: one caller sends thousands of different requests, each of which crashes
-// whatever runs it, and another one a few. What is remembered stays bounded, the
-// other's verdict stands, and the flood costs a target for each request in the end.
-func TestFloodOfDeadlyRequests(t *testing.T) {
+// One organisation sends thousands of poison requests. The records stay bounded,
+// requests of another organisation stay quarantined, and each further request costs one
+// target.
+func TestManyPoisonRequests(t *testing.T) {
 	var b Book
-	for i := range deathsNeeded {
-		b.Died(deathOf("z", fmt.Sprint("z", i)), SourceOwn, 1)
+	for i := range minCrashThreshold {
+		b.Died(crashOf("z", fmt.Sprint("z", i)), SourceOwn, 1)
 	}
 	crashed := 0
 	const requests = 5000
 	for n := range requests {
 		name := fmt.Sprint("a", n)
-		for i := 0; !b.Judge(printOf(name), 2).Condemned; i++ {
-			b.Died(deathOf(name, fmt.Sprint(n, "-", i)), SourceOwn, 2)
+		for i := 0; !b.Judge(fingerprintOf(name), 2).Condemned; i++ {
+			b.Died(crashOf(name, fmt.Sprint(n, "-", i)), SourceOwn, 2)
 			crashed++
 		}
 	}
-	assert.True(t, b.Judge(printOf("z"), 3).Condemned)
-	assert.LessOrEqual(t, len(b.suspects), maxOfOrg+1)
-	assert.LessOrEqual(t, crashed, requests+manyOfOrg*deathsNeeded)
+	assert.True(t, b.Judge(fingerprintOf("z"), 3).Condemned)
+	assert.LessOrEqual(t, len(b.suspects), maxSuspectsPerOrg+1)
+	assert.LessOrEqual(t, crashed, requests+strictOrgQuarantines*minCrashThreshold)
 	last := fmt.Sprint("a", requests-1)
-	assert.True(t, b.Judge(printOf(last), 3).Condemned)
+	assert.True(t, b.Judge(fingerprintOf(last), 3).Condemned)
 }
 
-// Each verdict, and each change of one, has a line that says what decided it, and is
-// counted.
+// Each change of a request's state is logged with its cause and counted.
 func TestVerdictsAreLogged(t *testing.T) {
 	var log bytes.Buffer
 	scope := tally.NewTestScope("", nil)
 	b := Book{Log: zerolog.New(&log), Scope: scope}
-	for i := range deathsNeeded {
-		b.Died(deathOf("a", fmt.Sprint("t", i)), SourceOwn, 1)
+	for i := range minCrashThreshold {
+		b.Died(crashOf("a", fmt.Sprint("t", i)), SourceOwn, 1)
 	}
-	assert.Equal(t, deathsNeeded, strings.Count(log.String(), "poison: target crashed as it began a request"))
+	assert.Equal(t, minCrashThreshold, strings.Count(log.String(), "poison: target crashed as it began a request"))
 	assert.Contains(t, log.String(), `"targets":["t0","t1","t2"]`)
-	assert.Equal(t, 1, strings.Count(log.String(), "poison: request condemned"))
-	require.True(t, b.Claim(b.Judge(printOf("a"), 2).Trial, 9, 2))
-	assert.Contains(t, log.String(), "poison: request is tried once")
-	b.RanWell(printOf("a"), 3)
+	assert.Equal(t, 1, strings.Count(log.String(), "poison: request quarantined"))
+	require.True(t, b.Claim(b.Judge(fingerprintOf("a"), 2).Trial, 9, 2))
+	assert.Contains(t, log.String(), "poison: quarantined request is probed once")
+	b.RanWell(fingerprintOf("a"), 3)
 	assert.Contains(t, log.String(), `"cause":"ran well"`)
 	counts := map[string]int64{}
 	for _, c := range scope.Snapshot().Counters() {
--- a/poison/bystanders_test.go
+++ b/poison/bystanders_test.go
@@ -14,139 +14,137 @@
 )
 
 const (
-	tick     = 10 * time.Millisecond
-	dayTime  = 60 * time.Second
-	readTime = 1500 * time.Millisecond // the mean until a run begins, those that wait before it included
-	eventGap = 40 * time.Millisecond
-	events   = 130
-	downTime = 2 * time.Second
-	// deadlyEvery is the mean time between two tries of a deadly request, and
-	// deadlyAfter how long after its run begins the target crashes.
-	deadlyEvery = 500 * time.Millisecond
-	deadlyAfter = 100 * time.Millisecond
-	draws       = 40
-	// lateDeaths are those of runs that had begun when the request was condemned, and
-	// crashes that looked like a zone's failure.
-	lateDeaths = 5
+	tick            = 10 * time.Millisecond
+	simulatedTime   = 60 * time.Second
+	prefillTime     = 1500 * time.Millisecond // mean time from sending to the first event, queueing included
+	eventInterval   = 40 * time.Millisecond
+	eventsPerStream = 130
+	downTime        = 2 * time.Second
+	// poisonInterval is the mean time between two calls with a poison request, and
+	// poisonCrashDelay the time from the start of an attempt to the crash.
+	poisonInterval   = 500 * time.Millisecond
+	poisonCrashDelay = 100 * time.Millisecond
+	simulations      = 40
+	// maxLateCrashes bounds the crashes by attempts that had started before the
+	// quarantine, and those that looked like a zone outage.
+	maxLateCrashes = 5
 )
 
 type (
-	dayLoad struct {
+	// scenario is a case of testdata/bystanders.yaml. Rates are per second.
+	scenario struct {
 		Name    string
 		Zones   int
 		Targets int
-		Streams float64 // that begin
-		Crashes float64 // of single targets
-		Outages float64 // of zones
-		Share   float64 // of the zone's targets
-		Half    bool
-		Deadly  int // requests that crash whatever runs them
+		Streams float64 // new streams
+		Crashes float64 // crashes of single targets
+		Outages float64 // zone outages
+		Share   float64 // of the zone's targets that are lost in an outage
+		Half    bool    // half of a random zone's targets are lost every 7 s
+		Poison  int     // requests that crash whatever runs them
 	}
 
-	// simTarget is one target of a day.
-	simTarget struct {
+	simulatedTarget struct {
 		zone, boot int
 		downUntil  time.Duration
 	}
 
-	// simStream is one stream of a day, over all its runs.
-	simStream struct {
-		name    string
-		deadly  bool
-		at      int // its target
-		boot    int // of the target, when the run was sent
-		reading time.Duration
-		ran     time.Duration // in this run
-		made    time.Duration // in all runs
+	// simulatedStream is a stream over all its attempts.
+	simulatedStream struct {
+		name           string
+		isPoison       bool
+		target         int // index in simulation.targets
+		boot           int // of the target when the attempt was sent
+		untilPrefilled time.Duration
+		attemptTime    time.Duration // streamed in this attempt
+		streamedTime   time.Duration // streamed in all attempts
 	}
 
-	simDay struct {
-		dayLoad
-		rng     *rand.Rand
-		now     time.Duration
-		targets []simTarget
-		streams []*simStream
-		count   int
-		book    Book
-		deaths  map[string]int // caused by each deadly request
+	simulation struct {
+		scenario
+		rng              *rand.Rand
+		now              time.Duration
+		targets          []simulatedTarget
+		streams          []*simulatedStream
+		streamCount      int
+		book             Book
+		crashesByRequest map[string]int // of the poison requests
 	}
 )
 
-// Whatever targets are lost, no request is condemned that did not crash them: not
-// one that was aboard of several by bad luck, of a zone that failed, or beside one
-// that did. Those that do are condemned after three targets, and those few that they
-// had begun to run at meanwhile.
+// Guards against the quarantine of bystanders, whichever targets are lost: single ones,
+// zones, or those that run poison requests. Poison requests are quarantined after the
+// minimum of crashes and those of attempts that were already sent.
 func TestBystanders(t *testing.T) {
-	for _, c := range cases.Load[dayLoad](t, "testdata/bystanders.yaml") {
+	for _, c := range cases.Load[scenario](t, "testdata/bystanders.yaml") {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			moved, blamed := 0, 0
-			for seed := range uint64(draws) {
-				d := &simDay{dayLoad: c, rng: rand.New(rand.NewPCG(seed, 1)), deaths: map[string]int{}}
-				m, b := d.play(t)
-				moved, blamed = moved+m, blamed+b
-				assert.Len(t, d.deaths, c.Deadly)
-				for name, n := range d.deaths {
-					assert.True(t, d.book.Judge(printOf(name), d.clock()).Condemned, name)
-					assert.LessOrEqual(t, n, deathsNeeded+lateDeaths, name)
+			lostRuns, blamed := 0, 0
+			for seed := range uint64(simulations) {
+				d := &simulation{scenario: c, rng: rand.New(rand.NewPCG(seed, 1)), crashesByRequest: map[string]int{}}
+				m, b := d.run(t)
+				lostRuns, blamed = lostRuns+m, blamed+b
+				assert.Len(t, d.crashesByRequest, c.Poison)
+				for name, n := range d.crashesByRequest {
+					assert.True(t, d.book.Judge(fingerprintOf(name), d.clock()).Condemned, name)
+					assert.LessOrEqual(t, n, minCrashThreshold+maxLateCrashes, name)
 				}
 			}
-			t.Logf("%d runs of innocent requests lost their targets, %d of them were blamed for it", moved, blamed)
+			t.Logf("%d attempts of bystanders lost their targets, %d of these crashes were attributed to their requests", lostRuns, blamed)
 		})
 	}
 }
 
-func (d *simDay) clock() clock.Time { return clock.Time(time.Hour + d.now) }
+func (d *simulation) clock() clock.Time { return clock.Time(time.Hour + d.now) }
 
-// play plays the day, and returns how many runs of innocent requests were lost, and
-// how many of these were blamed.
-func (d *simDay) play(t *testing.T) (moved, blamed int) {
+// run returns how many attempts of bystanders were lost, and how many of these losses
+// were attributed to their requests.
+func (d *simulation) run(t *testing.T) (lostRuns, blamed int) {
 	for i := range d.Targets {
-		d.targets = append(d.targets, simTarget{zone: i % d.Zones})
+		d.targets = append(d.targets, simulatedTarget{zone: i % d.Zones})
 	}
-	for ; d.now < dayTime; d.now += tick {
+	for ; d.now < simulatedTime; d.now += tick {
 		d.arrivals()
-		d.strike()
+		d.injectFailures()
 		d.advance()
-		m, b := d.move(t)
-		moved, blamed = moved+m, blamed+b
+		m, b := d.failOver(t)
+		lostRuns, blamed = lostRuns+m, blamed+b
 	}
-	return moved, blamed
+	return lostRuns, blamed
 }
 
-// happens reports whether something that comes so often a second comes in this tick.
-func (d *simDay) happens(perSecond float64) bool {
+// happens draws whether an event of this rate occurs in the current tick.
+func (d *simulation) happens(perSecond float64) bool {
 	return d.rng.Float64() < perSecond*tick.Seconds()
 }
 
-func (d *simDay) arrivals() {
+func (d *simulation) arrivals() {
 	if d.happens(d.Streams) {
-		d.count++
-		d.send(&simStream{name: fmt.Sprint("s", d.count)})
+		d.streamCount++
+		d.send(&simulatedStream{name: fmt.Sprint("s", d.streamCount)})
 	}
-	for i := range d.Deadly {
+	for i := range d.Poison {
 		name := fmt.Sprint("x", i)
-		if d.happens(1/deadlyEvery.Seconds()) && !d.book.Judge(printOf(name), d.clock()).Condemned {
-			d.send(&simStream{name: name, deadly: true})
+		if d.happens(1/poisonInterval.Seconds()) && !d.book.Judge(fingerprintOf(name), d.clock()).Condemned {
+			d.send(&simulatedStream{name: name, isPoison: true})
 		}
 	}
 }
 
-// send begins a run at any target that is up.
-func (d *simDay) send(s *simStream) {
+// send starts an attempt at a random target that is up.
+func (d *simulation) send(s *simulatedStream) {
 	for range 10 * len(d.targets) {
-		s.at = d.rng.IntN(len(d.targets))
-		if d.targets[s.at].downUntil <= d.now {
-			s.boot, s.ran = d.targets[s.at].boot, 0
-			s.reading = time.Duration((0.5 + d.rng.Float64()) * float64(readTime))
+		s.target = d.rng.IntN(len(d.targets))
+		if d.targets[s.target].downUntil <= d.now {
+			s.boot, s.attemptTime = d.targets[s.target].boot, 0
+			s.untilPrefilled = time.Duration((0.5 + d.rng.Float64()) * float64(prefillTime))
 			d.streams = append(d.streams, s)
 			return
 		}
 	}
 }
 
-// strike has targets lost.
-func (d *simDay) strike() {
+func (d *simulation) injectFailures() {
 	if d.happens(d.Crashes) {
 		d.crash(d.rng.IntN(len(d.targets)))
 	}
@@ -158,7 +156,7 @@
 	}
 }
 
-func (d *simDay) outage(zone int, share float64) {
+func (d *simulation) outage(zone int, share float64) {
 	for i := range d.targets {
 		if d.targets[i].zone == zone && d.rng.Float64() < share {
 			d.crash(i)
@@ -166,97 +164,97 @@
 	}
 }
 
-func (d *simDay) crash(target int) {
+func (d *simulation) crash(target int) {
 	d.targets[target].downUntil = d.now + downTime
 	d.targets[target].boot++
 }
 
-// advance has all runs go on.
-func (d *simDay) advance() {
+// advance lets all attempts progress by a tick.
+func (d *simulation) advance() {
 	for _, s := range d.streams {
-		if d.lost(s) {
+		if d.targetLost(s) {
 			continue
 		}
-		if s.reading > 0 {
-			s.reading -= tick
+		if s.untilPrefilled > 0 {
+			s.untilPrefilled -= tick
 			continue
 		}
-		s.ran += tick
-		if s.deadly {
-			if s.ran >= deadlyAfter {
-				d.deaths[s.name]++
-				d.crash(s.at)
+		s.attemptTime += tick
+		if s.isPoison {
+			if s.attemptTime >= poisonCrashDelay {
+				d.crashesByRequest[s.name]++
+				d.crash(s.target)
 			}
 			continue
 		}
-		s.made += tick
-		if s.eventsMade() == youngEvents+1 {
-			d.book.RanWell(printOf(s.name), d.clock())
+		s.streamedTime += tick
+		if s.eventCount() == maxEarlyEvents+1 {
+			d.book.RanWell(fingerprintOf(s.name), d.clock())
 		}
 	}
 }
 
-func (s *simStream) eventsMade() int { return int(s.made / eventGap) }
+func (s *simulatedStream) eventCount() int { return int(s.streamedTime / eventInterval) }
 
-// lost reports whether a run's target has crashed.
-func (d *simDay) lost(s *simStream) bool { return d.targets[s.at].boot != s.boot }
+// targetLost reports whether the attempt's target has crashed.
+func (d *simulation) targetLost(s *simulatedStream) bool { return d.targets[s.target].boot != s.boot }
 
-// move has the streams that lost their targets go on elsewhere.
-func (d *simDay) move(t *testing.T) (moved, blamed int) {
+// failOver moves the streams that lost their targets to others.
+func (d *simulation) failOver(t *testing.T) (lostRuns, blamed int) {
 	streams := d.streams
 	d.streams = nil
 	for _, s := range streams {
-		if !d.lost(s) {
-			given := s.reading > 0 && d.book.Judge(printOf(s.name), d.clock()).Condemned // up before it has begun
-			if s.eventsMade() < events && !given {
+		if !d.targetLost(s) {
+			gaveUp := s.untilPrefilled > 0 && d.book.Judge(fingerprintOf(s.name), d.clock()).Condemned
+			if s.eventCount() < eventsPerStream && !gaveUp {
 				d.streams = append(d.streams, s)
 			}
 			continue
 		}
-		d.book.Lost(Loss{Service: "llm", Zone: fmt.Sprint(d.targets[s.at].zone), Boot: bootOf(s), Targets: len(d.targets)}, d.clock())
-		sighting := d.sighting(s)
-		guilty := s.reading <= 0 && sighting.Counts()
-		if guilty {
-			death := deathOf(s.name, bootOf(s).ID())
-			death.Call, death.Together = fmt.Sprintf("%p", s), sighting.Together()
-			d.book.Died(death, SourceOwn, d.clock())
+		d.book.Lost(Loss{Service: "llm", Zone: fmt.Sprint(d.targets[s.target].zone), Boot: bootOf(s), Targets: len(d.targets)}, d.clock())
+		sighting := d.observe(s)
+		attributed := s.untilPrefilled <= 0 && sighting.Counts()
+		if attributed {
+			crash := crashOf(s.name, bootOf(s).ID())
+			crash.Call, crash.Together = fmt.Sprintf("%p", s), sighting.Together()
+			d.book.Died(crash, SourceOwn, d.clock())
 		}
-		condemned := d.book.Judge(printOf(s.name), d.clock()).Condemned
-		if !s.deadly {
-			moved++
-			if guilty {
+		quarantined := d.book.Judge(fingerprintOf(s.name), d.clock()).Condemned
+		if !s.isPoison {
+			lostRuns++
+			if attributed {
 				blamed++
 			}
-			if condemned {
-				t.Errorf("%s is condemned at %v", s.name, d.now)
+			if quarantined {
+				t.Errorf("%s is quarantined at %v", s.name, d.now)
 			}
 		}
-		if !condemned {
+		if !quarantined {
 			d.send(s)
 		}
 	}
-	return moved, blamed
+	return lostRuns, blamed
 }
 
-// bootOf is the target that a run was sent to.
-func bootOf(s *simStream) ragworthitch.Boot {
-	return ragworthitch.NewBoot(fmt.Sprint("t", s.at, "-", s.boot), 0)
+// bootOf returns the boot that an attempt was sent to.
+func bootOf(s *simulatedStream) ragworthitch.Boot {
+	return ragworthitch.NewBoot(fmt.Sprint("t", s.target, "-", s.boot), 0)
 }
 
-// sighting is what an instance finds when a run's target is lost.
-func (d *simDay) sighting(s *simStream) Sighting {
-	return Sighting{Events: s.eventsMade(), Zone: d.ask(func(o simTarget) bool { return o.zone == d.targets[s.at].zone }, s.at),
-		Service: d.ask(func(simTarget) bool { return true }, s.at)}
+// observe returns what an instance observes when an attempt loses its target.
+func (d *simulation) observe(s *simulatedStream) Sighting {
+	return Sighting{Events: s.eventCount(), Zone: d.checkNeighbours(func(o simulatedTarget) bool { return o.zone == d.targets[s.target].zone }, s.target),
+		Service: d.checkNeighbours(func(simulatedTarget) bool { return true }, s.target)}
 }
 
-// ask asks some other targets for connections; those that were lost before and are
-// known to be are not asked.
-func (d *simDay) ask(of func(simTarget) bool, but int) Round {
+// checkNeighbours checks some other targets for connections, but not those that are
+// already known to be lost.
+func (d *simulation) checkNeighbours(match func(simulatedTarget) bool, lost int) Round {
 	var r Round
 	for _, i := range d.rng.Perm(len(d.targets)) {
 		o := d.targets[i]
 		known := o.downUntil > d.now && o.downUntil < d.now+downTime-tick
-		if i == but || !of(o) || known || r.Asked == Neighbours {
+		if i == lost || !match(o) || known || r.Asked == Neighbours {
 			continue
 		}
 		r.Asked++
@@ -267,15 +265,15 @@
 	return r
 }
 
-// A zone or a service that fails together is told from single targets.
+// Outages of a zone or a service are distinguished from the loss of single targets.
 func TestTogether(t *testing.T) {
 	for lost := range Neighbours + 1 {
-		assert.Equal(t, lost >= outage, Sighting{Zone: Round{Asked: Neighbours, Lost: lost}}.Together(), lost)
+		assert.Equal(t, lost >= outageThreshold, Sighting{Zone: Round{Asked: Neighbours, Lost: lost}}.Together(), lost)
 	}
 	assert.True(t, Sighting{Service: Round{Asked: 3, Lost: 2}}.Together())
-	assert.False(t, Sighting{Service: Round{Asked: 4, Lost: 2}}.Together(), "others of it serve")
-	assert.False(t, Sighting{Zone: Round{Asked: 1, Lost: 1}}.Together(), "that may be chance")
-	assert.False(t, Sighting{}.Together(), "there is nobody else")
+	assert.False(t, Sighting{Service: Round{Asked: 4, Lost: 2}}.Together(), "other targets of the service are up")
+	assert.False(t, Sighting{Zone: Round{Asked: 1, Lost: 1}}.Together(), "a single neighbour says little")
+	assert.False(t, Sighting{}.Together(), "no neighbours")
 	assert.False(t, Sighting{Leaving: true}.Counts())
-	assert.False(t, Sighting{Events: youngEvents + 1}.Counts())
+	assert.False(t, Sighting{Events: maxEarlyEvents + 1}.Counts())
 }
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -1,14 +1,13 @@
-// Package poison recognises requests that crash the targets which run them (poison
-// requests, or queries of death), so that they are not run again. A target that
-// crashes looks like any other that is lost, and its requests go on elsewhere; one
-// that has crashed it crashes the next, for each try of its caller, at every
-// instance that it comes to.
+// Package poison detects poison requests, which crash the targets that run them, and
+// quarantines them. A crashed target looks like any other lost target, so its calls fail
+// over; a poison request then crashes the next target, for each retry of its caller and at
+// every instance.
 //
-// Instances tell each other which requests had just begun to run when a target
-// crashed (Death), and keep that in the store. A request under which three targets
-// have crashed, and that has never run well since, is condemned: it is rejected at
-// once, everywhere. Bad luck is told from guilt by how soon after the run began the
-// target crashed, by whether others of its zone or service were lost with it, by who
-// else was aboard each time, and by runs that end well. A verdict ends: after a
-// while, or when the service has a new version, one instance tries the request once.
+// Instances report to their peers, and write to the store, which requests a target had
+// just started to run when it crashed (Death). A request under which three targets have
+// crashed, and that has not run well since, is quarantined: all instances reject it at
+// once. The state of a request depends on how soon after the start of the attempt the
+// target crashed, whether others of its zone or service were lost with it, which other
+// requests it was running, and which attempts succeeded. A quarantine ends: after a delay,
+// or when the service has a new version, one instance probes the request once.
 package poison
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -8,25 +8,24 @@
 	"fmt"
 )
 
-// shown is how many bytes of a fingerprint lines and answers name.
-const shown = 8
+// shortBytes is the length of the prefix in logs and answers.
+const shortBytes = 8
 
-// ErrBadFingerprint is wrapped by errors about a fingerprint's text.
+// ErrBadFingerprint is wrapped by the errors of Parse.
 var ErrBadFingerprint = errors.New("poison: bad fingerprint")
 
-// Fingerprint is the same for all tries of one request, by whichever connection,
-// instance or request id they come: a strong hash, so that nobody can have
-// another's request taken for their own. Its zero value is no request's.
+// Fingerprint identifies a request over all its attempts, whatever their connection,
+// instance or request id. It is a cryptographic hash, so that a caller can't forge a
+// request with the fingerprint of another. No request has the zero value.
 type Fingerprint [sha256.Size]byte
 
-// Of returns the fingerprint of a request by what makes it the same: the
-// organisation, the host and path, by which its route is chosen, and the body.
-// Headers and the query change from try to try of some callers.
+// Of returns the fingerprint of a request. Headers and the query are left out, since
+// some callers change them from attempt to attempt.
 func Of(org, method, host, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	var size [8]byte
 	for _, part := range [...]string{org, method, host, path} {
-		// Lengths keep apart what only joins to the same bytes.
+		// Length prefixes keep different parts with the same concatenation apart.
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		h.Write(size[:])
 		h.Write([]byte(part))
@@ -35,7 +34,7 @@
 	return Fingerprint(h.Sum(nil))
 }
 
-// Parse reads what Text has written.
+// Parse reads the output of Text.
 func Parse(s string) (Fingerprint, error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != sha256.Size {
@@ -44,8 +43,8 @@
 	return Fingerprint(b), nil
 }
 
-// Text is the whole fingerprint in hexadecimal.
+// Text returns the whole fingerprint in hexadecimal.
 func (f Fingerprint) Text() string { return hex.EncodeToString(f[:]) }
 
-// String is the beginning of it, which tells fingerprints apart in logs.
-func (f Fingerprint) String() string { return hex.EncodeToString(f[:shown]) }
+// String returns a hexadecimal prefix for logs.
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:shortBytes]) }
--- a/poison/fingerprint_test.go
+++ b/poison/fingerprint_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All that makes a request another one tells in its fingerprint.
+// Requests that differ in a part have different fingerprints.
 func TestFingerprint(t *testing.T) {
 	of := func(org, method, host, path, body string) Fingerprint {
 		return Of(org, method, host, path, []byte(body))
@@ -37,8 +37,7 @@
 	}
 }
 
-// BenchmarkOf is what a call's fingerprint costs before it is served, for a body of
-// the usual size and the longest that operators allow.
+// The sizes are a usual body and the largest that operators allow.
 func BenchmarkOf(b *testing.B) {
 	for name, n := range map[string]int{"8kB": 8 << 10, "4MB": 4 << 20} {
 		body := make([]byte, n)
--- a/poison/losses.go
+++ b/poison/losses.go
@@ -9,105 +9,103 @@
 )
 
 const (
-	// TogetherTime is within which targets that fail together are found to be lost:
-	// those without power after 300 ms.
+	// TogetherTime is the interval in which targets that fail together are found to be
+	// lost. A target without power is found after 300 ms.
 	TogetherTime = 400 * time.Millisecond
-	// lossSpan is how long the loss of a target speaks for targets that crash by
-	// themselves.
-	lossSpan = time.Minute
-	// youngTime is for how long a run is so young that a crash speaks against it.
-	youngTime = 100 * time.Millisecond
-	// luck is how likely a request may lose so many targets while it is young, by bad
-	// luck alone, for it to be condemned: a fleet has some 10^9 requests a day.
-	luck = 1e-10
-	// maxNeeded is how many crashes are enough in any case: where targets crash by
-	// themselves all the time, a deadly request still has to be stopped.
-	maxNeeded = 5
-	// maxLosses bounds the losses that are kept.
-	maxLosses = 1024
+	// lossWindow is how long a loss counts towards the rate of independent crashes.
+	lossWindow = time.Minute
+	// earlyPeriod is the time after the start of an attempt in which a crash counts
+	// against its request.
+	earlyPeriod = 100 * time.Millisecond
+	// maxChanceProbability bounds the probability that independent crashes alone
+	// quarantine a request; a fleet has some 10^9 requests a day.
+	maxChanceProbability = 1e-10
+	// maxCrashThreshold is enough crashes at any rate of independent crashes, so that
+	// poison requests are stopped even where targets crash all the time.
+	maxCrashThreshold = 5
+	maxLosses         = 1024
 )
 
 type (
-	// Loss is a target that was lost, for whatever reason.
+	// Loss is the loss of a target, for whatever reason.
 	Loss struct {
 		Service, Zone string
 		Boot          ragworthitch.Boot
-		Targets       int // of the service
+		Targets       int // number of targets of the service
 	}
 
-	// losses are those of late, the newest last.
-	losses struct {
-		all []lossAt
+	// lossTable holds the recent losses, newest last.
+	lossTable struct {
+		entries []timedLoss
 	}
 
-	lossAt struct {
+	timedLoss struct {
 		Loss
 		at clock.Time
 	}
 )
 
-// Lost notes that a target was lost. Where targets are lost without a request that
-// had just begun, more of them have to crash under one until it is condemned.
+// Lost records the loss of a target. The more targets are lost independently of any
+// young request, the more crashes it takes to quarantine one.
 func (b *Book) Lost(l Loss, now clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.losses.add(l, now)
 }
 
-func (ls *losses) add(l Loss, now clock.Time) {
-	ls.forget(now)
-	for _, o := range ls.all {
+func (ls *lossTable) add(l Loss, now clock.Time) {
+	ls.prune(now)
+	for _, o := range ls.entries {
 		if o.Boot == l.Boot {
 			return
 		}
 	}
-	ls.all = append(ls.all, lossAt{Loss: l, at: now})
+	ls.entries = append(ls.entries, timedLoss{Loss: l, at: now})
 }
 
-// forget drops what is too old or too much.
-func (ls *losses) forget(now clock.Time) {
-	old := max(0, len(ls.all)-maxLosses)
-	for old < len(ls.all) && now.Sub(ls.all[old].at) > lossSpan {
-		old++
+// prune drops the losses that are older than lossWindow or exceed maxLosses.
+func (ls *lossTable) prune(now clock.Time) {
+	expired := max(0, len(ls.entries)-maxLosses)
+	for expired < len(ls.entries) && now.Sub(ls.entries[expired].at) > lossWindow {
+		expired++
 	}
-	ls.all = ls.all[old:]
+	ls.entries = ls.entries[expired:]
 }
 
-// rate is how many targets of a service, for each that it has, were lost a second by
-// themselves of late: not together with others of their zone, and not blamed on a
-// request.
-func (ls *losses) rate(service string, blamed func(ragworthitch.Boot) bool, now clock.Time) float64 {
-	ls.forget(now)
-	alone, targets := 0, 1
-	for i, l := range ls.all {
+// independentRate returns the recent losses per target and second of a service, without
+// losses in an outage and those that are attributed to a request.
+func (ls *lossTable) independentRate(service string, isBlamed func(ragworthitch.Boot) bool, now clock.Time) float64 {
+	ls.prune(now)
+	independent, targets := 0, 1
+	for i, l := range ls.entries {
 		if l.Service != service {
 			continue
 		}
 		targets = max(1, l.Targets)
-		if !blamed(l.Boot) && !ls.together(i) {
-			alone++
+		if !isBlamed(l.Boot) && !ls.isInOutage(i) {
+			independent++
 		}
 	}
-	return float64(alone) / float64(targets) / lossSpan.Seconds()
+	return float64(independent) / float64(targets) / lossWindow.Seconds()
 }
 
-// together reports whether the nth was lost with others of its zone.
-func (ls *losses) together(n int) bool {
+// isInOutage reports whether the loss was part of a zone outage.
+func (ls *lossTable) isInOutage(index int) bool {
 	others := 0
-	for i, o := range ls.all {
-		apart := math.Abs(float64(o.at - ls.all[n].at))
-		if i != n && o.Zone == ls.all[n].Zone && apart < float64(TogetherTime) {
+	for i, o := range ls.entries {
+		interval := math.Abs(float64(o.at - ls.entries[index].at))
+		if i != index && o.Zone == ls.entries[index].Zone && interval < float64(TogetherTime) {
 			others++
 		}
 	}
-	return others >= outage
+	return others >= outageThreshold
 }
 
-// needed is how many targets have to crash under a request, where so many are lost a
-// second by themselves.
-func needed(rate float64) int {
-	n := deathsNeeded
-	for n < maxNeeded && math.Pow(rate*youngTime.Seconds(), float64(n)) > luck {
+// crashThreshold returns how many targets have to crash under a request until it is
+// quarantined, at a rate of independent crashes.
+func crashThreshold(rate float64) int {
+	n := minCrashThreshold
+	for n < maxCrashThreshold && math.Pow(rate*earlyPeriod.Seconds(), float64(n)) > maxChanceProbability {
 		n++
 	}
 	return n
--- a/poison/rows.go
+++ b/poison/rows.go
@@ -5,129 +5,129 @@
 	"github.com/ragworthitch/ragworthitch/clock"
 )
 
-// maxNews bounds the deaths that are kept to be told to other instances.
-const maxNews = 256
+// maxCrashLog bounds the crashes that are kept to be reported to peers.
+const maxCrashLog = 256
 
 type (
-	// RowKey names a row of the store: a death, or, without a boot, the trials of a
-	// request.
+	// RowKey identifies a row of the store: a crash, or, without a boot, the number of
+	// probes of a request.
 	RowKey struct {
 		Print Fingerprint
-		Boot  ragworthitch.Boot // zero: the row counts trials
+		Boot  ragworthitch.Boot // zero: the row counts probes
 	}
 
 	// Row is one row of the store.
 	Row struct {
 		RowKey
-		Death   Death // unless it counts trials
+		Death   Death // unless the row counts probes
 		Trials  int
 		Version int64 // of the row
-		Gone    bool
+		Gone    bool  // the row was deleted
 	}
 
-	// Edit is what is to be changed in the store: a death to be kept, or rows to be
-	// dropped.
+	// Edit is a pending write to the store: a crash to add or rows to delete.
 	Edit struct {
 		Death Death // zero: none
 		Drop  []RowKey
 	}
 
-	// newsLog are deaths to be told to other instances, the newest last.
-	newsLog struct {
-		last  []Death
-		total uint64
+	// crashLog holds the crashes to be reported to peers, newest last.
+	crashLog struct {
+		recent []Death
+		total  uint64
 	}
 )
 
-// CountsTrials reports whether the row counts the trials of a request.
+// CountsTrials reports whether the row counts probes.
 func (k RowKey) CountsTrials() bool { return k.Boot == ragworthitch.Boot{} }
 
-func (n *newsLog) add(d Death) {
-	n.total++
-	n.last = append(n.last, d)
-	if len(n.last) > 2*maxNews {
-		n.last = append([]Death(nil), n.last[len(n.last)-maxNews:]...)
+func (l *crashLog) add(d Death) {
+	l.total++
+	l.recent = append(l.recent, d)
+	if len(l.recent) > 2*maxCrashLog {
+		l.recent = append([]Death(nil), l.recent[len(l.recent)-maxCrashLog:]...)
 	}
 }
 
-// Since returns the deaths that became known after the first n, as far as they are
-// kept and still count, and how many there have been.
+// Since returns the crashes recorded after the first n that are still in the log and
+// still count, and the number of crashes recorded so far.
 func (b *Book) Since(n uint64) ([]Death, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	fresh := int(min(b.news.total-min(n, b.news.total), uint64(len(b.news.last)), maxNews))
+	unseen := int(min(b.crashLog.total-min(n, b.crashLog.total), uint64(len(b.crashLog.recent)), maxCrashLog))
 	var out []Death
-	for _, d := range b.news.last[len(b.news.last)-fresh:] {
-		if s := b.suspects[d.Print]; s != nil && s.deaths[d.Boot] != nil {
+	for _, d := range b.crashLog.recent[len(b.crashLog.recent)-unseen:] {
+		if s := b.suspects[d.Print]; s != nil && s.crashes[d.Boot] != nil {
 			out = append(out, d)
 		}
 	}
-	return out, b.news.total
+	return out, b.crashLog.total
 }
 
-// edit notes a change to be made in the store; b.mu is held.
-func (b *Book) edit(e Edit) {
-	b.edits = append(b.edits, e)
-	if b.changed != nil {
-		close(b.changed)
-		b.changed = nil
+// queueEdit queues a write to the store; b.mu is held.
+func (b *Book) queueEdit(e Edit) {
+	b.pendingEdits = append(b.pendingEdits, e)
+	if b.editQueued != nil {
+		close(b.editQueued)
+		b.editQueued = nil
 	}
 }
 
-// Take takes the changes that are to be made in the store, in their order, and
-// returns a channel that is closed when there are more.
+// Take removes and returns the pending writes in their order, and a channel that is
+// closed when more are queued.
 func (b *Book) Take() ([]Edit, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.changed == nil {
-		b.changed = make(chan struct{})
+	if b.editQueued == nil {
+		b.editQueued = make(chan struct{})
 	}
-	out := b.edits
-	b.edits = nil
-	return out, b.changed
+	out := b.pendingEdits
+	b.pendingEdits = nil
+	return out, b.editQueued
 }
 
-// Return gives back changes that could not be made.
+// Return puts writes that failed back in front of the queue.
 func (b *Book) Return(edits []Edit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.edits = append(edits, b.edits...)
+	b.pendingEdits = append(edits, b.pendingEdits...)
 }
 
-// rows are the store's rows on a suspect.
-func (s *suspect) rows() []RowKey {
+// storedRows returns the keys of a suspect's rows that are in the store or queued for
+// it.
+func (s *suspect) storedRows() []RowKey {
 	var out []RowKey
-	for boot, d := range s.deaths {
-		if d.kept || d.stored {
+	for boot, d := range s.crashes {
+		if d.storeQueued || d.stored {
 			out = append(out, RowKey{Print: s.print, Boot: boot})
 		}
 	}
-	if s.trialsRow != 0 {
+	if s.probeRowVersion != 0 {
 		out = append(out, RowKey{Print: s.print})
 	}
 	return out
 }
 
-// Replace takes all rows of the store.
+// Replace applies a snapshot of all rows of the store.
 func (b *Book) Replace(rows []Row, now clock.Time) {
-	stand := map[RowKey]bool{}
+	present := map[RowKey]bool{}
 	for _, r := range rows {
-		stand[r.RowKey] = true
+		present[r.RowKey] = true
 	}
 	b.mu.Lock()
-	var gone []Row
+	var deleted []Row
 	for _, s := range b.suspects {
-		for boot, d := range s.deaths {
-			if k := (RowKey{Print: s.print, Boot: boot}); d.stored && !stand[k] {
-				gone = append(gone, Row{RowKey: k, Gone: true})
+		for boot, d := range s.crashes {
+			if k := (RowKey{Print: s.print, Boot: boot}); d.stored && !present[k] {
+				deleted = append(deleted, Row{RowKey: k, Gone: true})
 			}
 		}
 	}
 	b.mu.Unlock()
-	b.Change(append(gone, rows...), now)
+	b.Change(append(deleted, rows...), now)
 }
 
-// Change takes rows of the store that have changed.
+// Change applies changed rows of the store.
 func (b *Book) Change(rows []Row, now clock.Time) {
 	if len(rows) == 0 {
 		return
@@ -137,39 +137,39 @@
 	for _, r := range rows {
 		switch {
 		case r.CountsTrials():
-			b.takeTrials(r, now)
+			b.applyProbeRow(r, now)
 		case r.Gone:
-			b.takeGone(r.RowKey)
+			b.applyDeletion(r.RowKey)
 		default:
-			if b.put(r.Death, SourceStore, now) {
-				b.news.add(r.Death)
+			if b.record(r.Death, SourceStore, now) {
+				b.crashLog.add(r.Death)
 			}
 		}
 	}
-	b.weigh(now)
+	b.evaluate(now)
 }
 
-// takeTrials takes the row that counts a request's trials; b.mu is held.
-func (b *Book) takeTrials(r Row, now clock.Time) {
+// applyProbeRow applies the row that counts a request's probes; b.mu is held.
+func (b *Book) applyProbeRow(r Row, now clock.Time) {
 	s := b.suspects[r.Print]
 	if s == nil || r.Gone {
 		return
 	}
-	if r.Trials > s.trials {
-		b.tried(s, r.Trials, r.Version, now)
+	if r.Trials > s.probes {
+		b.recordProbe(s, r.Trials, r.Version, now)
 	}
-	s.trialsRow = max(s.trialsRow, r.Version)
+	s.probeRowVersion = max(s.probeRowVersion, r.Version)
 }
 
-// takeGone takes that a death does not count any more; b.mu is held.
-func (b *Book) takeGone(k RowKey) {
+// applyDeletion applies that the row of a crash was deleted; b.mu is held.
+func (b *Book) applyDeletion(k RowKey) {
 	s := b.suspects[k.Print]
-	if s == nil || s.deaths[k.Boot] == nil || !s.deaths[k.Boot].stored {
+	if s == nil || s.crashes[k.Boot] == nil || !s.crashes[k.Boot].stored {
 		return
 	}
-	if len(s.deaths) == 1 {
-		b.clear(s, clearedElsewhere, false)
+	if len(s.crashes) == 1 {
+		b.clear(s, causeReleasedElsewhere, false)
 		return
 	}
-	delete(s.deaths, k.Boot)
+	delete(s.crashes, k.Boot)
 }
