--- a/rollout/book.go
+++ b/rollout/book.go
@@ -13,99 +13,102 @@
 )
 
 const (
-	// trialShare of the operator's bound on the share of calls is spent on trials, and
-	// slackShare of the constant part, which is divided by the number of instances; the
-	// rest is for chance.
-	trialShare = 0.95
-	slackShare = 0.4
-	// Parts of an order's duration: answers count as recent from recentFrom on, the new
-	// version is judged from judgeFrom on, so that one that turns bad late can show it,
-	// and by what is likelier from lateFrom on. It takes over at completeBy though some
-	// calls still run at old targets, and is taken back at giveUpAt if it could not be
-	// judged. The rest is left for the store to answer late.
-	recentFrom = 0.45
-	judgeFrom  = 0.6
-	lateFrom   = 0.8
-	completeBy = 0.92
-	giveUpAt   = 0.95
-	// fewLeft is the share of a service's calls that may run at the old targets when
-	// these end: as many as are lost with a zone, which the others take up.
-	fewLeft = 0.4
-	// enoughTargets is the share of the old targets' number that the new version has to
-	// have ready to take their place.
-	enoughTargets = 0.8
-	// slowTimes is how many times as long as usual a slow answer takes, or the gaps
-	// between its events, and slowStart the same of a first event, which waits for
-	// prompts that nobody here knew of.
-	slowTimes = 2
-	slowStart = 3.5
-	// holdNew is how long a version that has come beside another gets no work while no
-	// order for it is known: the order may be under way.
-	holdNew = 3 * time.Second
-	// metTogether is within how long versions are met that were there before.
-	metTogether = time.Second
-	// The mean of answer times is that of some usualSpan answers, and counts from
-	// enoughUsual on.
-	usualSpan   = 32
-	enoughUsual = 8
-	// defaultShare is the bound on what is on trial where the operator sets none.
+	// canaryFraction is the part of the operator's bound on the share of calls that
+	// goes to canary calls; slackFraction is that of the constant part, which is
+	// divided among the instances. The rest is a margin for random variation.
+	canaryFraction = 0.95
+	slackFraction  = 0.4
+	// Fractions of an order's duration: answers count as recent from recentFrom on; a
+	// version is promoted from promoteFrom on, if judged good, and from
+	// promoteLikelyFrom on, if more likely good than bad; the order is completed from
+	// completeFrom on though some calls still run at old targets, and rolled back from
+	// rollBackFrom on if the version was not judged. The rest is left for a slow store.
+	recentFrom        = 0.45
+	promoteFrom       = 0.6
+	promoteLikelyFrom = 0.8
+	completeFrom      = 0.92
+	rollBackFrom      = 0.95
+	// maxOldLoadShare is the share of a service's load that may run at the old targets
+	// when they stop: the share that a zone outage moves to the other targets.
+	maxOldLoadShare = 0.4
+	// minReadyShare is the number of ready targets that the new version needs, relative
+	// to the number of old ones.
+	minReadyShare = 0.8
+	// An answer, or the mean of its event intervals, is slow if it takes slowFactor
+	// times as long as the baseline, and a first event if it takes slowFirstEventFactor
+	// times as long as expected. The latter waits for prompts of other callers, which
+	// instances don't know.
+	slowFactor           = 2
+	slowFirstEventFactor = 3.5
+	// newVersionHold is how long a version that appears beside another gets no calls
+	// while no order for it is known: the order may still be on its way.
+	newVersionHold = 3 * time.Second
+	// Versions discovered within initialDiscovery of the first were there from the
+	// start and are not held back.
+	initialDiscovery = time.Second
+	// The baseline of answer times is a moving mean over some baselineWindow answers;
+	// it is used from minBaselineSamples on.
+	baselineWindow     = 32
+	minBaselineSamples = 8
+	// defaultShare is the canary share where the operator sets none.
 	defaultShare = 0.1
 )
 
 type (
-	// Book is what an instance knows of orders, versions and evidence. The zero value
-	// is ready to use; set its fields before.
+	// Book tracks the orders, versions and evidence that an instance knows. The zero
+	// value is ready to use; set its fields before.
 	Book struct {
 		// Share is the operator's bound on the share of a service's calls that a bad
 		// version may get; 0: the default.
 		Share float64
-		// Slack is how many calls it may get besides, over all instances, and Instances
-		// how many of these there are; ok is false while that is not known for sure.
+		// Slack is the number of calls that a bad version may get on top of Share, over
+		// all instances. Instances returns the number of instances; ok is false while
+		// that number is not certain.
 		Slack     float64
 		Instances func() (n int, ok bool)
-		// Random returns random numbers in [0, 1); nil: the usual ones.
+		// Random returns random numbers in [0, 1); nil: math/rand/v2.
 		Random func() float64
-		// Self names this start of the instance.
+		// Self identifies this process of the instance.
 		Self Writer
 		Log  zerolog.Logger
 
-		busy atomic.Bool // there is an order, or a version held back
-		mu   sync.Mutex
-		by   map[string]*service
-		read bool // the statuses in the store are known
+		active       atomic.Bool // there is an order, a status, or more than one version
+		mu           sync.Mutex
+		services     map[string]*service
+		statusesRead bool // the statuses in the store are known
 	}
 
-	// service is what is known of one service.
+	// service is the state of one service.
 	service struct {
-		order    Order // zero ID: none
-		seenAt   clock.Time
-		status   Status
-		account  account
-		heard    map[Writer]Evidence // the newest, whatever order it is for
-		tallies  map[Writer]Tally    // for the order
-		judge    judge
-		verdict  Verdict
-		news     bool // there is evidence that the judge has not seen
-		stopped  bool // this instance has found the version bad
-		writtenN int  // answers of the own tally when it was last written
-		writtenT clock.Time
-		met      map[string]clock.Time // versions, and when they were first met
-		first    string                // the one that was met first
-		calls    Calls
-		usual    map[string]usual // by route
+		order          Order // zero ID: no order
+		orderSeenAt    clock.Time
+		status         Status
+		budget         canaryBudget
+		latestEvidence map[Writer]Evidence // for any order
+		tallies        map[Writer]Tally    // for the current order
+		judge          judge
+		verdict        Verdict
+		hasNewEvidence bool // not yet evaluated by the judge
+		rollBackDue    bool // this instance has found the version bad, or the order was withdrawn
+		writtenAnswers int  // new version's answers in the own tally when last written
+		writtenAt      clock.Time
+		firstSeen      map[string]clock.Time // by version
+		firstVersion   string                // the version that was discovered first
+		calls          Calls
+		baselines      map[string]baseline // by route
 	}
 
-	// usual is how long the old version's answers on a route take.
-	usual struct {
-		seen int
-		mean float64 // ns
+	// baseline is the mean answer time of the old version on a route.
+	baseline struct {
+		samples int
+		mean    float64 // ns
 	}
 
-	// Calls is how many calls were placed here, how many of them on trial, and how
-	// often calls were sent to the new version besides.
+	// Calls counts the new calls at this instance, the canary calls among them, and the
+	// other calls that were sent to the new version.
 	Calls struct{ All, Trial, Besides int }
 
-	// Answer is what one answer of a target says of its version.
+	// Answer is the judgement of one answer of a target.
 	Answer struct {
 		Service, Route, Target, Version string
 		Symptom                         Symptom
@@ -113,45 +116,46 @@
 	}
 )
 
-// InForce reports whether anything has to be asked of the book for a service.
-func (b *Book) InForce() bool { return b.busy.Load() }
+// InForce reports whether roll-outs restrict any call.
+func (b *Book) InForce() bool { return b.active.Load() }
 
 func (b *Book) service(name string) *service {
-	if b.by == nil {
-		b.by = map[string]*service{}
+	if b.services == nil {
+		b.services = map[string]*service{}
 	}
-	s := b.by[name]
+	s := b.services[name]
 	if s == nil {
-		s = &service{heard: map[Writer]Evidence{}, tallies: map[Writer]Tally{}, usual: map[string]usual{}, met: map[string]clock.Time{}}
-		b.by[name] = s
+		s = &service{latestEvidence: map[Writer]Evidence{}, tallies: map[Writer]Tally{}, baselines: map[string]baseline{}, firstSeen: map[string]clock.Time{}}
+		b.services[name] = s
 	}
 	return s
 }
 
-// settle notes whether there is anything to be asked; b.mu is held.
-func (b *Book) settle() {
-	busy := false
-	for _, s := range b.by {
-		busy = busy || s.order.ID != 0 || s.status.State != None || len(s.met) > 1
+// updateActive recomputes b.active; b.mu is held.
+func (b *Book) updateActive() {
+	active := false
+	for _, s := range b.services {
+		active = active || s.order.ID != 0 || s.status.State != None || len(s.firstSeen) > 1
 	}
-	b.busy.Store(busy)
+	b.active.Store(active)
 }
 
-// Met notes that a target of a version is known.
+// Met records that a target of a version was discovered.
 func (b *Book) Met(name, version string, now clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(name)
-	if s.first == "" {
-		s.first = version
+	if s.firstVersion == "" {
+		s.firstVersion = version
 	}
-	if _, ok := s.met[version]; !ok {
-		s.met[version] = now
-		b.settle()
+	if _, ok := s.firstSeen[version]; !ok {
+		s.firstSeen[version] = now
+		b.updateActive()
 	}
 }
 
-// Order takes the operator's order for a service over.
+// Order applies the operator's order for a service, unless it is older than the current
+// one.
 func (b *Book) Order(o Order, now clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,10 +163,10 @@
 	if o.ID <= s.order.ID {
 		return
 	}
-	s.begin(o, now)
-	s.account.extra = b.slack()
-	b.settle()
-	b.Log.Info().Str("service", o.Service).Str("to", o.To).Dur("duration", o.Duration).Int64("order", o.ID).Msg("rollout: order known")
+	s.startOrder(o, now)
+	s.budget.extraCalls = b.slack()
+	b.updateActive()
+	b.Log.Info().Str("service", o.Service).Str("to", o.To).Dur("duration", o.Duration).Int64("order", o.ID).Msg("rollout: order received")
 }
 
 func (b *Book) random() float64 {
@@ -172,11 +176,10 @@
 	return b.Random()
 }
 
-// share is the bound on the share of calls.
 func (b *Book) share() float64 { return cmp.Or(b.Share, defaultShare) }
 
-// slack is what this instance may spend of the constant part. One that does not know how
-// many there are, or has just started, spends none: others may have spent it.
+// slack returns this instance's part of the calls on top of the share. An instance that
+// doesn't know the number of instances gets none, since others may have used theirs.
 func (b *Book) slack() float64 {
 	if b.Instances == nil {
 		return 0
@@ -185,16 +188,16 @@
 	if !ok || n == 0 {
 		return 0
 	}
-	return slackShare * b.Slack / float64(n)
+	return slackFraction * b.Slack / float64(n)
 }
 
-// begin starts anew for an order.
-func (s *service) begin(o Order, now clock.Time) {
-	s.order, s.seenAt = o, now
-	s.tallies, s.judge, s.verdict, s.stopped = map[Writer]Tally{}, judge{}, Verdict{}, false
-	s.account, s.calls, s.writtenN = account{}, Calls{}, 0
-	s.news = true
-	for w, e := range s.heard {
+// startOrder resets the service for an order.
+func (s *service) startOrder(o Order, now clock.Time) {
+	s.order, s.orderSeenAt = o, now
+	s.tallies, s.judge, s.verdict, s.rollBackDue = map[Writer]Tally{}, judge{}, Verdict{}, false
+	s.budget, s.calls, s.writtenAnswers = canaryBudget{}, Calls{}, 0
+	s.hasNewEvidence = true
+	for w, e := range s.latestEvidence {
 		if e.Order == o.ID {
 			s.tallies[w] = e.Tally
 		}
@@ -204,12 +207,12 @@
 	}
 }
 
-// Ordered are the services with an order.
+// Ordered returns the services with an order.
 func (b *Book) Ordered() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
-	for name, s := range b.by {
+	for name, s := range b.services {
 		if s.order.ID != 0 {
 			out = append(out, name)
 		}
@@ -217,8 +220,8 @@
 	return out
 }
 
-// Withdraw notes that the operator's order for a service is gone: what has not been
-// decided by then is taken back.
+// Withdraw records that the operator has withdrawn the order for a service. It is
+// rolled back unless its state is final.
 func (b *Book) Withdraw(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -226,12 +229,12 @@
 	if s.order.ID == 0 || s.status.State.Final() {
 		return
 	}
-	s.stopped = true
-	b.Log.Warn().Str("service", name).Int64("order", s.order.ID).Msg("rollout: order withdrawn; version is taken back")
+	s.rollBackDue = true
+	b.Log.Warn().Str("service", name).Int64("order", s.order.ID).Msg("rollout: order withdrawn; the version is rolled back")
 }
 
-// Status takes over what the store says of an order. A final state is not left, nor
-// does a status of an earlier order count.
+// Status applies a status from the store. It ignores statuses of earlier orders and
+// changes of a final state.
 func (b *Book) Status(st Status) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -240,46 +243,48 @@
 		return
 	}
 	if st.Order < s.order.ID {
-		s.status.Row = st.Row // what the next change relies on
+		s.status.Row = st.Row // the next change is conditional on this row
 		return
 	}
 	if st.Order == s.status.Order && s.status.State.Final() && st.State != s.status.State {
-		b.Log.Error().Str("service", st.Service).Stringer("state", st.State).Stringer("known", s.status.State).Msg("rollout: change of a final status is not taken over")
+		b.Log.Error().Str("service", st.Service).Stringer("state", st.State).Stringer("known", s.status.State).Msg("rollout: ignoring a change of a final status")
 		return
 	}
 	changed := st.State != s.status.State || st.Order != s.status.Order
 	s.status = st
-	b.settle()
+	b.updateActive()
 	if changed {
 		b.Log.Info().Str("service", st.Service).Str("to", st.To).Int64("order", st.Order).Stringer("state", st.State).Int("callsHere", s.calls.All).
-			Int("trialsHere", s.calls.Trial).Int("besidesHere", s.calls.Besides).Msg("rollout: status known")
+			Int("trialsHere", s.calls.Trial).Int("besidesHere", s.calls.Besides).Msg("rollout: status changed")
 	}
 }
 
-// Read notes that the statuses that there are have been read: before, nothing is decided.
+// Read records that all statuses were read from the store. Before that, Decide returns
+// nothing.
 func (b *Book) Read() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.read = true
+	b.statusesRead = true
 }
 
-// Heard takes an instance's evidence over; told twice it counts once.
+// Heard records evidence of a peer. It ignores evidence that is not newer than the
+// latest of the same writer.
 func (b *Book) Heard(e Evidence) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(e.Service)
-	before := s.heard[e.Writer]
-	stale := e.Order < before.Order || e.Order == before.Order && e.Tally.seen() <= before.Tally.seen()
+	known := s.latestEvidence[e.Writer]
+	stale := e.Order < known.Order || e.Order == known.Order && e.Tally.answers() <= known.Tally.answers()
 	if e.Writer == b.Self || stale {
 		return
 	}
-	s.heard[e.Writer] = e
+	s.latestEvidence[e.Writer] = e
 	if e.Order == s.order.ID {
-		s.tallies[e.Writer], s.news = e.Tally, true
+		s.tallies[e.Writer], s.hasNewEvidence = e.Tally, true
 	}
 }
 
-// Saw takes what an answer to a call that was placed here says.
+// Saw counts an answer to a call of this instance.
 func (b *Book) Saw(a Answer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -292,37 +297,37 @@
 		t = Tally{}
 		s.tallies[b.Self] = t
 	}
-	s.news = true
+	s.hasNewEvidence = true
 	t.add(Group{Route: a.Route, New: a.Version == s.order.To, Symptom: a.Symptom}, a.Target, a.Bad)
 }
 
-// Times is how many times as long as usual for the old version an answer to a plain call
-// took; 0 if too few were seen.
+// Times returns the time of an answer to a plain call relative to the old version's
+// baseline, or 0 if there are too few samples.
 func (b *Book) Times(name, route, version string, took time.Duration) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(name)
-	u := s.usual[route]
-	times := 0.0
-	if u.seen >= enoughUsual {
-		times = float64(took) / u.mean
+	base := s.baselines[route]
+	ratio := 0.0
+	if base.samples >= minBaselineSamples {
+		ratio = float64(took) / base.mean
 	}
 	if version != s.order.To {
-		u.add(took)
-		s.usual[route] = u
+		base.add(took)
+		s.baselines[route] = base
 	}
-	return times
+	return ratio
 }
 
-// add takes an answer's time into the mean.
-func (u *usual) add(took time.Duration) {
-	u.seen++
-	u.mean += (float64(took) - u.mean) / float64(min(u.seen, usualSpan))
+// add updates the mean with an answer's time.
+func (b *baseline) add(took time.Duration) {
+	b.samples++
+	b.mean += (float64(took) - b.mean) / float64(min(b.samples, baselineWindow))
 }
 
-// IsSlowStart reports whether a first event that took so many times as long as expected
-// is slow.
-func IsSlowStart(times float64) bool { return times > slowStart }
+// IsSlowStart reports whether a first event is slow; times is its time relative to the
+// expected time.
+func IsSlowStart(times float64) bool { return times > slowFirstEventFactor }
 
-// IsSlow reports whether an answer that took so many times as long as usual is slow.
-func IsSlow(times float64) bool { return times > slowTimes }
+// IsSlow reports whether an answer is slow; times is its time relative to the baseline.
+func IsSlow(times float64) bool { return times > slowFactor }
--- a/rollout/book_test.go
+++ b/rollout/book_test.go
@@ -19,18 +19,18 @@
 	newVer = "v2"
 )
 
-// order is an order of a minute.
 func order(id int64) Order {
 	return Order{ID: id, Service: svc, To: newVer, Duration: time.Minute}
 }
 
-// uses says where a call that is not on trial may go: to the old and the new version.
+// uses returns the use of the old and the new version for a call that is no canary
+// call.
 func uses(b *Book) [2]Use {
 	p := b.Place(svc, Lane{}, clock.Time(time.Hour))
 	return [2]Use{p.Use(oldVer), p.Use(newVer)}
 }
 
-// Without an order all versions are alike, and nothing is asked of the book.
+// Without an order no version is restricted.
 func TestNoOrder(t *testing.T) {
 	var b Book
 	assert.False(t, b.InForce())
@@ -40,7 +40,7 @@
 	assert.Empty(t, b.Unwritten(0))
 }
 
-// Where calls go in each state, and that final states are not left.
+// Calls go to the version of each state, and final states are not left.
 func TestStates(t *testing.T) {
 	tests := []struct {
 		state State
@@ -58,13 +58,12 @@
 		assert.Equal(t, tt.want, uses(&b), tt.state)
 		if tt.state.Final() {
 			b.Status(Status{Order: 5, Service: svc, To: newVer, State: Running, Row: 10})
-			assert.Equal(t, tt.want, uses(&b), "%v is left", tt.state)
+			assert.Equal(t, tt.want, uses(&b), "%v was left", tt.state)
 		}
 	}
 }
 
-// A status of an earlier order says nothing of the next, whichever comes first, and an
-// instance that starts in the middle finds both.
+// A status of an earlier order doesn't affect the next, whichever is learned first.
 func TestLaterOrder(t *testing.T) {
 	var b Book
 	b.Status(Status{Order: 5, Service: svc, To: newVer, State: RolledBack, Row: 9})
@@ -75,11 +74,11 @@
 	assert.Equal(t, [2]Use{Preferred, Spare}, uses(&b))
 	b.Status(Status{Order: 7, Service: svc, To: newVer, State: Completed, Row: 12})
 	assert.Equal(t, [2]Use{Spare, Preferred}, uses(&b))
-	b.Order(order(6), 0) // a late answer
+	b.Order(order(6), 0) // arrives late
 	assert.Equal(t, [2]Use{Spare, Preferred}, uses(&b))
 }
 
-// An order that is withdrawn before it was decided is taken back.
+// An order that is withdrawn before its state is final is rolled back.
 func TestWithdrawn(t *testing.T) {
 	var b Book
 	b.Read()
@@ -93,25 +92,24 @@
 	assert.Equal(t, int64(9), changes[0].If)
 }
 
-// A version that comes beside another while no order is known gets nothing for a while:
-// the order may be under way. Versions that were there together are alike.
+// A new version gets no calls for a while if no order is known; versions that were
+// discovered together get calls at once.
 func TestUnorderedVersion(t *testing.T) {
 	var b Book
 	b.Met(svc, oldVer, 0)
 	b.Met(svc, newVer, clock.Time(time.Minute))
 	at := func(d time.Duration) Use { return b.Place(svc, Lane{}, clock.Time(time.Minute+d)).Use(newVer) }
 	assert.Equal(t, Spare, at(time.Second))
-	assert.Equal(t, Preferred, at(holdNew))
+	assert.Equal(t, Preferred, at(newVersionHold))
 	var c Book
 	c.Met(svc, newVer, 0)
 	c.Met(svc, oldVer, 1)
 	assert.Equal(t, [2]Use{Preferred, Preferred}, [2]Use{c.Place(svc, Lane{}, 2).Use(oldVer), c.Place(svc, Lane{}, 2).Use(newVer)})
 }
 
-// The load: calls come to 5 to 380 instances, of which each sees few, and one route has
-// one call in seventeen. What is on trial keeps the operator's bound in every draw, also
-// where each instance restarts in the middle, and the rare route is tried often.
-func TestTrialsKeepBound(t *testing.T) {
+// Canary calls stay within the operator's bound for any number of instances, also if
+// all of them restart, and a rare route gets its part.
+func TestCanaryCallsStayWithinBound(t *testing.T) {
 	const share, slack, calls = 0.1, 50, 560
 	for _, n := range []int{5, 28, 103, 380} {
 		for seed := range uint64(50) {
@@ -125,7 +123,7 @@
 			for i := range books {
 				books[i] = start()
 			}
-			trials, rare := 0, 0
+			canaries, rare := 0, 0
 			for c := range calls {
 				i, route := rng.IntN(n), "often"
 				if rng.IntN(17) == 0 {
@@ -134,30 +132,30 @@
 				if c == calls/2 {
 					for i := range books {
 						books[i] = start()
-						books[i].by[svc].account.extra = 0 // it was not there when the order came
+						books[i].services[svc].budget.extraCalls = 0 // a restarted instance gets no slack
 					}
 				}
 				if c%50 == 0 {
-					told := map[Writer]Tally{{}: {Group{Route: "often"}: {Seen: 16 * (c + 1)}, Group{Route: "rare"}: {Seen: c + 1}}}
+					tallies := map[Writer]Tally{{}: {Group{Route: "often"}: {Seen: 16 * (c + 1)}, Group{Route: "rare"}: {Seen: c + 1}}}
 					for _, b := range books {
-						b.by[svc].account.learn(told)
+						b.services[svc].budget.updateUsage(tallies)
 					}
 				}
-				if books[i].Enter(svc, route).trial {
-					trials++
+				if books[i].Enter(svc, route).canary {
+					canaries++
 					if route == "rare" {
 						rare++
 					}
 				}
 			}
-			assert.LessOrEqual(t, float64(trials), share*calls+slack, "%d instances, seed %d", n, seed)
+			assert.LessOrEqual(t, float64(canaries), share*calls+slack, "%d instances, seed %d", n, seed)
 			assert.GreaterOrEqual(t, rare, 8, "%d instances, seed %d", n, seed)
 		}
 	}
 }
 
-// A route with next to no calls keeps no version from being taken in, and takes no share
-// of the trials from the others.
+// A route with very few calls neither blocks a promotion nor takes canary calls from
+// the others.
 func TestRouteWithHardlyAnyCalls(t *testing.T) {
 	tally := Tally{}
 	for range 100 {
@@ -166,18 +164,18 @@
 			tally.add(Group{Route: "often", New: fresh, Symptom: Slow}, "i", false)
 		}
 	}
-	before := account{}
-	before.learn(map[Writer]Tally{{}: tally})
+	before := canaryBudget{}
+	before.updateUsage(map[Writer]Tally{{}: tally})
 	tally.add(Group{Route: "hardly"}, "i", false)
 	var j judge
-	assert.True(t, j.look(map[Writer]Tally{{}: tally}, true).Good)
-	after := account{}
-	after.learn(map[Writer]Tally{{}: tally})
-	assert.InDelta(t, before.chance("often", 0.1), after.chance("often", 0.1), 0.01)
-	assert.InDelta(t, 0.1, after.chance("hardly", 0.1), 1e-9)
+	assert.True(t, j.evaluate(map[Writer]Tally{{}: tally}, true).Good)
+	after := canaryBudget{}
+	after.updateUsage(map[Writer]Tally{{}: tally})
+	assert.InDelta(t, before.canaryProbability("often", 0.1), after.canaryProbability("often", 0.1), 0.01)
+	assert.InDelta(t, 0.1, after.canaryProbability("hardly", 0.1), 1e-9)
 }
 
-// Evidence that is told twice, late or by a start that has ended counts once.
+// Evidence that arrives twice, late or for another order is not counted again.
 func TestEvidenceCountsOnce(t *testing.T) {
 	var b Book
 	b.Order(order(5), 0)
@@ -189,12 +187,12 @@
 	tell(1, 7, 5)
 	tell(1, 3, 5)
 	tell(1, 7, 5)
-	tell(2, 2, 5) // the same instance, started anew
+	tell(2, 2, 5) // the same instance after a restart
 	tell(3, 50, 4)
-	assert.Equal(t, 9, pool(b.by[svc].tallies, g).seen)
+	assert.Equal(t, 9, poolGroup(b.services[svc].tallies, g).seen)
 }
 
-// One target that spoils all of its answers is no version that does.
+// A single bad target doesn't make its version bad.
 func TestOneBadTarget(t *testing.T) {
 	tally := Tally{}
 	for i := range 60 {
@@ -202,39 +200,39 @@
 		tally.add(g, fmt.Sprint(i%10), i%10 == 0)
 	}
 	var j judge
-	assert.False(t, j.look(map[Writer]Tally{{}: tally}, false).Bad)
+	assert.False(t, j.evaluate(map[Writer]Tally{{}: tally}, false).Bad)
 	for i := range 20 {
 		tally.add(Group{Route: "r", New: true}, fmt.Sprint(i%10), true)
 	}
-	v := j.look(map[Writer]Tally{{}: tally}, false)
+	v := j.evaluate(map[Writer]Tally{{}: tally}, false)
 	assert.True(t, v.Bad)
 	assert.Equal(t, "r", v.Route)
 }
 
-// memory is a store in memory for the model check: it may do a change and lose its
-// answer, or do it later.
-type memory struct {
-	rng    *rand.Rand
-	status Status
-	late   []Change
-	was    []State
+// memoryStore is a store for TestModel, which may lose or delay changes and lose
+// answers.
+type memoryStore struct {
+	rng     *rand.Rand
+	status  Status
+	late    []Change
+	history []State
 }
 
 var errLost = errors.New("answer lost")
 
-func (m *memory) apply(c Change) (Status, error) {
+func (m *memoryStore) apply(c Change) (Status, error) {
 	if c.If != m.status.Row {
 		return m.status, ErrTaken
 	}
 	st := c.Status
 	st.Row = m.status.Row + 1
 	m.status = st
-	m.was = append(m.was, st.State)
+	m.history = append(m.history, st.State)
 	return st, nil
 }
 
-// Change writes a status, as its luck is.
-func (m *memory) Change(_ context.Context, c Change) (Status, error) {
+// Change applies, loses or delays a change, at random.
+func (m *memoryStore) Change(_ context.Context, c Change) (Status, error) {
 	switch m.rng.IntN(4) {
 	case 0:
 		m.late = append(m.late, c)
@@ -247,17 +245,16 @@
 }
 
 // Tell does nothing.
-func (*memory) Tell(context.Context, Evidence) error { return nil }
+func (*memoryStore) Tell(context.Context, Evidence) error { return nil }
 
-// Over random plays of three instances, of which some restart or learn late, with answers
-// of the store lost or late and a version that may be found bad by any of them: an order
-// ends in one state only, along the transitions of the package comment, and no instance
-// leaves a final state.
+// Random histories of three instances, with restarts, late updates and a faulty store:
+// an order takes only the transitions of the package comment and ends in one final
+// state, which no instance leaves.
 func TestModel(t *testing.T) {
 	next := map[State][]State{None: {Running, Completed}, Running: {Moving, RolledBack}, Moving: {Completed, RolledBack}}
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		m := &memory{rng: rng}
+		m := &memoryStore{rng: rng}
 		g := Group{Route: "r", New: true}
 		keepers := make([]*Keeper, 3)
 		start := func(i int, now clock.Time) {
@@ -291,15 +288,15 @@
 				k.Book.Saw(Answer{Service: svc, Route: g.Route, Target: fmt.Sprint(rng.IntN(9)), Version: newVer, Bad: bad})
 				k.Step(t.Context(), now, time.Duration(now))
 			}
-			st := keepers[i].Book.by[svc].status.State
+			st := keepers[i].Book.services[svc].status.State
 			if final[i].Final() {
 				assert.Equal(t, final[i], st, "seed %d: an instance left a final state", seed)
 			}
 			final[i] = st
 		}
 		before := None
-		for _, s := range m.was {
-			assert.Contains(t, next[before], s, "seed %d: %v", seed, m.was)
+		for _, s := range m.history {
+			assert.Contains(t, next[before], s, "seed %d: %v", seed, m.history)
 			before = s
 		}
 	}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -7,45 +7,45 @@
 
 // Symptoms of a bad version.
 const (
-	// Failing: answers are failures, spoiled, or broken off while the target lives.
+	// Failing: answers are errors, invalid, or end early though the target stays up.
 	Failing Symptom = iota
-	// Slow: answers come several times slower than expected at that load.
+	// Slow: answers take several times as long as expected at the current load.
 	Slow
 	symptoms
 )
 
-// maxByTarget is how many bad answers of one target count for a route and symptom: one
-// target that fails or is slow is no version that does.
-const maxByTarget = 2
+// maxBadPerTarget is how many bad answers of one target count for a route and symptom,
+// so that a single bad target doesn't make the version bad.
+const maxBadPerTarget = 2
 
 type (
-	// Symptom is a way in which answers are bad.
+	// Symptom is a kind of bad answers.
 	Symptom int
 
-	// Group is answers that are counted together.
+	// Group identifies answers that are counted together.
 	Group struct {
 		Route   string
-		New     bool // of the version that is on trial
+		New     bool // of the new version
 		Symptom Symptom
 	}
 
-	// Count is what was seen of a group.
+	// Count holds the answers of a group.
 	Count struct {
 		Seen int
 		Bad  map[string]int // by target
 	}
 
-	// Tally is what one start of an instance has seen, by group.
+	// Tally holds the answers that one process of an instance has counted.
 	Tally map[Group]Count
 
-	// Writer names one start of an instance.
+	// Writer identifies one process of an instance.
 	Writer struct {
 		Node    string
 		Started int64 // Unix ms
 	}
 
-	// Evidence is a writer's tally for an order. Later ones of the same writer hold
-	// what earlier ones held.
+	// Evidence is a writer's tally for an order. Later evidence of a writer includes
+	// its earlier evidence.
 	Evidence struct {
 		Writer
 		Service string
@@ -53,22 +53,19 @@
 		Tally   Tally
 	}
 
-	// sum is a group's count over all writers.
-	sum struct{ seen, bad int }
+	// pooledCount is a group's count over all writers.
+	pooledCount struct{ seen, bad int }
 )
 
 var symptomNames = [...]string{Failing: "failing", Slow: "slow"}
 
-// String is the symptom's name.
 func (s Symptom) String() string { return symptomNames[s] }
 
-// String is how many answers of how many were bad.
-func (s sum) String() string { return fmt.Sprintf("%d of %d bad", s.bad, s.seen) }
+func (s pooledCount) String() string { return fmt.Sprintf("%d of %d bad", s.bad, s.seen) }
 
 // Known reports whether s is one of the symptoms.
 func (s Symptom) Known() bool { return s >= 0 && s < symptoms }
 
-// add counts an answer.
 func (t Tally) add(g Group, target string, bad bool) {
 	c := t[g]
 	c.Seen++
@@ -81,7 +78,7 @@
 	t[g] = c
 }
 
-// clone is a copy that shares nothing.
+// clone returns a deep copy.
 func (t Tally) clone() Tally {
 	out := make(Tally, len(t))
 	for g, c := range t {
@@ -90,8 +87,8 @@
 	return out
 }
 
-// seen is how many answers are counted.
-func (t Tally) seen() int {
+// answers returns the number of counted answers, over all symptoms.
+func (t Tally) answers() int {
 	n := 0
 	for _, c := range t {
 		n += c.Seen
@@ -99,10 +96,10 @@
 	return n
 }
 
-// pool sums a group over all writers. Of a target's bad answers maxByTarget count; the
-// others say nothing.
-func pool(all map[Writer]Tally, g Group) sum {
-	var s sum
+// poolGroup sums a group over all writers. Bad answers of a target beyond
+// maxBadPerTarget are left out, also from the number of answers.
+func poolGroup(all map[Writer]Tally, g Group) pooledCount {
+	var s pooledCount
 	bad := map[string]int{}
 	for _, t := range all {
 		c := t[g]
@@ -112,7 +109,7 @@
 		}
 	}
 	for _, n := range bad {
-		counted := min(n, maxByTarget)
+		counted := min(n, maxBadPerTarget)
 		s.bad += counted
 		s.seen -= n - counted
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -3,122 +3,120 @@
 import "math"
 
 const (
-	// rise is the share of answers that a bad version spoils, at least, of those that
-	// the old one would not have; riseOnRoute the same on a single route, of which
-	// fewer answers are seen.
-	rise        = 0.25
-	riseOnRoute = 0.4
-	// falseAlarm is the likelihood with which a stretch of answers of a good version
-	// reads like one of a bad one, of which a roll-out has hundreds. missedBad is that
-	// with which a bad version reads like a good one over all routes, missedBadRoute on
-	// one route alone, and missedRecent by the recent answers alone, as a version may
-	// turn bad after a while. At the end of the time the likelier of both is taken, with
-	// lateBadRoute and lateRecent: to take a good version back and to take a bad one in
-	// are then about as wrong.
+	// minSpoiledShare is the least share of answers that a bad version spoils which the
+	// old version would not. minSpoiledShareOnRoute is that of a version that is bad on
+	// a single route, where fewer answers are counted.
+	minSpoiledShare        = 0.25
+	minSpoiledShareOnRoute = 0.4
+	// falseAlarm is the probability that a run of answers of a good version looks like
+	// one of a bad version; a roll-out has hundreds of such runs. missedBad is the
+	// probability that a bad version looks good over all routes, missedBadRoute on a
+	// single route, and missedRecent by the recent answers alone. Near the end of the
+	// duration lateBadRoute and lateRecent apply instead: promoting a bad version and
+	// rolling back a good one are then about equally wrong.
 	falseAlarm     = 0.00002
 	missedBad      = 0.01
 	missedBadRoute = 0.03
 	missedRecent   = 0.1
 	lateBadRoute   = 0.4
 	lateRecent     = 0.3
-	// doubt is the part of what takes a version back that keeps it from being taken in:
-	// more than one bad answer among the last few.
-	doubt = 0.4
-	// usualBad is the share of bad answers that speaks against no version, and that of
-	// the old one where little was seen of it; usualWeight is how many answers that is
-	// worth.
-	usualBad    = 0.02
-	usualWeight = 20
+	// maxPromoteFraction is the fraction of the alarm level above which a version is not
+	// promoted. More than one bad answer among the last few exceeds it.
+	maxPromoteFraction = 0.4
+	// priorBadShare is the least assumed share of bad answers of the old version, and
+	// its estimate where few answers were counted; it weighs as much as priorWeight
+	// answers.
+	priorBadShare = 0.02
+	priorWeight   = 20
 )
 
 type (
-	// trend is one route and symptom of the new version over time. The zero value has
-	// seen nothing.
-	trend struct {
-		was   sum     // of the new version, when last looked at
-		total float64 // Wald's sum: low says good
-		late  float64 // the same of recent answers
-		route float64 // the same for a version that is bad on this route only
-		worst float64 // Page's sum: high says bad
+	// testStatistics are those of one route and symptom of the new version.
+	testStatistics struct {
+		previous   pooledCount // count of the new version at the last update
+		sprt       float64     // Wald's sum of log-likelihood ratios; low: good
+		recentSPRT float64     // the same over recent answers
+		routeSPRT  float64     // the same for a version that is bad on this route only
+		cusum      float64     // Page's sum; high: bad
 	}
 
-	// judge holds the trends of an order. The zero value has seen nothing.
+	// judge evaluates the evidence for an order. The zero value is ready to use.
 	judge struct {
-		trends map[Group]*trend
-		routes map[string]bool
+		statistics map[Group]*testStatistics
+		routes     map[string]bool
 	}
 
-	// Verdict is what the evidence says of a version.
+	// Verdict is the result of an evaluation.
 	Verdict struct {
 		Bad, Good bool
-		Likely    bool   // rather good than bad
-		Route     string // with Bad: where
+		Likely    bool   // more likely good than bad
+		Route     string // if Bad: the route that is bad
 		Symptom   Symptom
-		Score     float64 // with Bad: Page's sum; otherwise the route's highest Wald sum
-		Bound     float64 // what the score is held against
-		New, Old  sum     // answers and bad ones
+		Score     float64     // if Bad: the CUSUM, otherwise the highest SPRT sum of the symptoms
+		Bound     float64     // what the score is compared with
+		New, Old  pooledCount // answers and bad answers
 	}
 )
 
-// ratios are the logarithms of the likelihood ratios of a bad and of a good answer, a
-// version that spoils a share of the answers to a good one, where the old version's
-// answers were as counted.
-func ratios(old sum, share float64) (bad, good float64) {
-	p := max(usualBad, (float64(old.bad)+usualBad*usualWeight)/(float64(old.seen)+usualWeight))
+// logLikelihoodRatios returns the log-likelihood ratios of a bad and of a good answer
+// between a version that spoils the given share of its answers and one as good as the
+// old.
+func logLikelihoodRatios(old pooledCount, share float64) (bad, good float64) {
+	p := max(priorBadShare, (float64(old.bad)+priorBadShare*priorWeight)/(float64(old.seen)+priorWeight))
 	q := p + share*(1-p)
 	return math.Log(q / p), math.Log((1 - q) / (1 - p))
 }
 
-// take adds what has been seen of the new version since the last time.
-func (t *trend) take(fresh, old sum, recent bool) {
-	spoiled := float64(max(0, fresh.bad-t.was.bad))
-	whole := max(0, float64(fresh.seen-t.was.seen)-spoiled)
-	t.was = fresh
-	bad, good := ratios(old, rise)
-	t.total += spoiled*bad + whole*good
+// update adds the answers of the new version since the last update.
+func (t *testStatistics) update(newCount, oldCount pooledCount, recent bool) {
+	spoiled := float64(max(0, newCount.bad-t.previous.bad))
+	intact := max(0, float64(newCount.seen-t.previous.seen)-spoiled)
+	t.previous = newCount
+	bad, good := logLikelihoodRatios(oldCount, minSpoiledShare)
+	t.sprt += spoiled*bad + intact*good
 	if recent {
-		t.late += spoiled*bad + whole*good
+		t.recentSPRT += spoiled*bad + intact*good
 	}
-	t.worst = max(0, t.worst+spoiled*bad+whole*good)
-	bad, good = ratios(old, riseOnRoute)
-	t.route += spoiled*bad + whole*good
+	t.cusum = max(0, t.cusum+spoiled*bad+intact*good)
+	bad, good = logLikelihoodRatios(oldCount, minSpoiledShareOnRoute)
+	t.routeSPRT += spoiled*bad + intact*good
 }
 
-// look takes all evidence and says what follows from it; recent says that what is new in
-// it counts as recent.
-func (j *judge) look(all map[Writer]Tally, recent bool) Verdict {
-	j.meet(all)
+// evaluate returns the verdict on all evidence. With recent set, answers since the last
+// evaluation count as recent.
+func (j *judge) evaluate(all map[Writer]Tally, recent bool) Verdict {
+	j.addRoutes(all)
 	usage := usageOf(all)
 	alarm := math.Log(1 / falseAlarm)
 	v := Verdict{Good: len(j.routes) > 0, Likely: len(j.routes) > 0, Score: math.Inf(-1), Bound: math.Log(missedBad)}
 	for symptom := range symptoms {
-		whole, late := 0.0, 0.0
+		sprt, recentSPRT := 0.0, 0.0
 		for route := range j.routes {
-			fresh, old := pool(all, Group{route, true, symptom}), pool(all, Group{route, false, symptom})
-			t := j.trend(route, symptom)
-			t.take(fresh, old, recent)
-			if t.worst >= alarm {
-				return Verdict{Bad: true, Route: route, Symptom: symptom, Score: t.worst, Bound: alarm, New: fresh, Old: old}
+			newCount, oldCount := poolGroup(all, Group{route, true, symptom}), poolGroup(all, Group{route, false, symptom})
+			t := j.statisticsOf(route, symptom)
+			t.update(newCount, oldCount, recent)
+			if t.cusum >= alarm {
+				return Verdict{Bad: true, Route: route, Symptom: symptom, Score: t.cusum, Bound: alarm, New: newCount, Old: oldCount}
 			}
-			v.New, v.Old = add(v.New, fresh), add(v.Old, old)
-			whole, late = whole+t.total, late+t.late
-			counts := usage.counts(route)
-			v.Good = v.Good && t.worst <= doubt*alarm && (!counts || t.route <= math.Log(missedBadRoute))
-			v.Likely = v.Likely && t.worst <= doubt*alarm && (!counts || t.route <= math.Log(lateBadRoute))
+			v.New, v.Old = addCounts(v.New, newCount), addCounts(v.Old, oldCount)
+			sprt, recentSPRT = sprt+t.sprt, recentSPRT+t.recentSPRT
+			judged := usage.hasEnoughCalls(route)
+			v.Good = v.Good && t.cusum <= maxPromoteFraction*alarm && (!judged || t.routeSPRT <= math.Log(missedBadRoute))
+			v.Likely = v.Likely && t.cusum <= maxPromoteFraction*alarm && (!judged || t.routeSPRT <= math.Log(lateBadRoute))
 		}
-		v.Score = max(v.Score, whole)
-		v.Good = v.Good && late <= math.Log(missedRecent)
-		v.Likely = v.Likely && late <= math.Log(lateRecent)
+		v.Score = max(v.Score, sprt)
+		v.Good = v.Good && recentSPRT <= math.Log(missedRecent)
+		v.Likely = v.Likely && recentSPRT <= math.Log(lateRecent)
 	}
 	v.Good = v.Good && v.Score <= v.Bound
 	v.Likely = v.Likely && v.Score <= v.Bound
 	return v
 }
 
-// meet notes the routes that were seen.
-func (j *judge) meet(all map[Writer]Tally) {
-	if j.trends == nil {
-		j.trends, j.routes = map[Group]*trend{}, map[string]bool{}
+// addRoutes adds the routes of all tallies.
+func (j *judge) addRoutes(all map[Writer]Tally) {
+	if j.statistics == nil {
+		j.statistics, j.routes = map[Group]*testStatistics{}, map[string]bool{}
 	}
 	for _, t := range all {
 		for g := range t {
@@ -127,12 +125,12 @@
 	}
 }
 
-func (j *judge) trend(route string, s Symptom) *trend {
+func (j *judge) statisticsOf(route string, s Symptom) *testStatistics {
 	g := Group{route, true, s}
-	if j.trends[g] == nil {
-		j.trends[g] = &trend{}
+	if j.statistics[g] == nil {
+		j.statistics[g] = &testStatistics{}
 	}
-	return j.trends[g]
+	return j.statistics[g]
 }
 
-func add(a, b sum) sum { return sum{a.seen + b.seen, a.bad + b.bad} }
+func addCounts(a, b pooledCount) pooledCount { return pooledCount{a.seen + b.seen, a.bad + b.bad} }
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -11,70 +11,71 @@
 )
 
 const (
-	// TurnGap is between the turns of instances that have come to the same decision, and
-	// MaxTurn the last of them: most then learn of it before they would have written it.
+	// TurnGap is the delay between the turns of instances that have come to the same
+	// decision, and MaxTurn the longest delay. Most instances learn of the change
+	// before their turn.
 	TurnGap = 300 * time.Millisecond
 	MaxTurn = 2 * time.Second
 )
 
-// ErrTaken is wrapped by a Store's error when another instance was first.
+// ErrTaken is wrapped by a Store's error if another instance has changed the status
+// first.
 var ErrTaken = errors.New("rollout: another instance has changed the status")
 
 type (
-	// Store keeps what instances tell each other of roll-outs.
+	// Store holds the statuses and the evidence of all instances.
 	Store interface {
-		// Change writes a status under its condition and returns it as written. With an
-		// error that wraps ErrTaken it returns the one that stands.
+		// Change writes a status if its condition holds, and returns it as written.
+		// With an error that wraps ErrTaken it returns the current status.
 		Change(ctx context.Context, c Change) (Status, error)
 		// Tell writes evidence.
 		Tell(ctx context.Context, e Evidence) error
 	}
 
-	// Keeper writes what an instance decides of roll-outs, and what it has seen. The
-	// zero value is ready to use once its fields are set.
+	// Keeper writes an instance's decisions and evidence to the store. Set its exported
+	// fields before use.
 	Keeper struct {
 		Book  *Book
 		Store Store
-		Turn  func(service string) time.Duration // how long a decision is left to others
+		Turn  func(service string) time.Duration // delay before this instance writes a decision
 		See   func(service, version string) Sight
 		Log   zerolog.Logger
 
-		due map[string]clock.Time // since when there is something to be decided
+		dueSince map[string]clock.Time // by service: since when a decision is due
 	}
 )
 
-// Step does what is due.
+// Step writes the evidence and decisions that are due.
 func (k *Keeper) Step(ctx context.Context, now clock.Time, storeNow time.Duration) {
 	if !k.Book.InForce() {
 		return
 	}
 	for _, e := range k.Book.Unwritten(now) {
-		k.tell(ctx, e)
+		k.writeEvidence(ctx, e)
 	}
 	due := map[string]clock.Time{}
 	for _, c := range k.Book.Decide(now, storeNow, k.See) {
-		since, ok := k.due[c.Service]
+		since, ok := k.dueSince[c.Service]
 		if !ok {
 			since = now
 		}
 		due[c.Service] = since
 		if now.Sub(since) >= k.Turn(c.Service) {
-			k.change(ctx, c)
-			due[c.Service] = now // if it has failed, others may be luckier
+			k.writeStatus(ctx, c)
+			due[c.Service] = now // after a failure, other instances get their turns first
 		}
 	}
-	k.due = due
+	k.dueSince = due
 }
 
-func (k *Keeper) tell(ctx context.Context, e Evidence) {
+func (k *Keeper) writeEvidence(ctx context.Context, e Evidence) {
 	if err := k.Store.Tell(ctx, e); err != nil {
 		k.Book.NotWritten(e)
-		k.Log.Warn().Str("service", e.Service).Int64("order", e.Order).Err(err).Msg("rollout: evidence not written; tried again")
+		k.Log.Warn().Str("service", e.Service).Int64("order", e.Order).Err(err).Msg("rollout: writing evidence failed; will retry")
 	}
 }
 
-// change writes a status, unless another instance has.
-func (k *Keeper) change(ctx context.Context, c Change) {
+func (k *Keeper) writeStatus(ctx context.Context, c Change) {
 	st, err := k.Store.Change(ctx, c)
 	taken := errors.Is(err, ErrTaken)
 	if err == nil || taken && st.Row != 0 {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -10,13 +10,14 @@
 const (
 	// None: there is no order, or its status is not written yet.
 	None State = iota
-	// Running: the new version is on trial.
+	// Running: a share of the new calls are canary calls.
 	Running
-	// Moving: the new version is judged good; copies of running streams are laid there.
+	// Moving: the new version is promoted; new calls, and replicas of running streams,
+	// go there.
 	Moving
-	// Completed: the new version has taken over. Final.
+	// Completed: the new version has replaced the old one. Final.
 	Completed
-	// RolledBack: the new version gets nothing any more. Final.
+	// RolledBack: the new version gets no calls any more. Final.
 	RolledBack
 )
 
@@ -24,34 +25,33 @@
 var ErrBadOrder = errors.New("rollout: bad order")
 
 type (
-	// State is how far an order has come.
+	// State is the state of an order.
 	State int
 
-	// Order asks that a service's work be moved to targets of a version.
+	// Order asks that a service's calls move to targets of a version.
 	Order struct {
-		ID       int64 // later orders have higher ones
+		ID       int64 // later orders have higher ids
 		Service  string
 		To       string        // version of the targets' software
-		Duration time.Duration // within which it is to be done
+		Duration time.Duration // time allowed for the roll-out
 	}
 
-	// Status is what all instances know of an order.
+	// Status is the shared state of an order.
 	Status struct {
 		Order   int64 // its ID
 		Service string
 		To      string
 		State   State
 		Since   time.Duration // when the order was first seen, on the store's clock
-		Row     int64         // version of the row that says so; 0: none does
+		Row     int64         // version of the row of the store; 0: no row
 	}
 )
 
 var stateNames = [...]string{None: "none", Running: "running", Moving: "moving", Completed: "completed", RolledBack: "rolledBack"}
 
-// String is the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// ParseState reads a state's name; ok is false if it names none.
+// ParseState returns the state with a name.
 func ParseState(name string) (s State, ok bool) {
 	for i, n := range stateNames {
 		if n == name {
@@ -61,10 +61,10 @@
 	return None, false
 }
 
-// Final reports whether an order stays in the state.
+// Final reports whether the state is never left.
 func (s State) Final() bool { return s == Completed || s == RolledBack }
 
-// Check reports what is wrong with an order; the error wraps ErrBadOrder.
+// Check validates the order; its errors wrap ErrBadOrder.
 func (o Order) Check() error {
 	switch {
 	case o.Service == "":
--- a/rollout/placement.go
+++ b/rollout/placement.go
@@ -6,11 +6,11 @@
 
 // Uses of a target for a call.
 const (
-	// Never: the call must not go there.
+	// Never: the call must not be sent to the target.
 	Never Use = iota
-	// Spare: it may go there if no target that is preferred takes it.
+	// Spare: the call may be sent to the target if no preferred target takes it.
 	Spare
-	// Preferred: it is to go there.
+	// Preferred: the call goes to one of these targets if possible.
 	Preferred
 )
 
@@ -18,24 +18,24 @@
 	// Use says whether a target may get a call.
 	Use int
 
-	// Lane is a call's place in a roll-out, for all of its sends. The zero value is that
-	// of a call that is not on trial.
+	// Lane is the role of a call in a roll-out, for all its attempts. The zero value is
+	// a call that is not a canary call.
 	Lane struct {
-		trial bool
-		order int64
+		canary bool
+		order  int64
 	}
 
-	// Placement says which versions a call may go to, at one moment. The zero value
+	// Placement says which versions a call may be sent to at the moment. The zero value
 	// prefers all.
 	Placement struct {
-		to    string
-		state State
-		trial bool
-		held  map[string]bool
+		to     string
+		state  State
+		canary bool
+		held   map[string]bool
 	}
 )
 
-// Enter places a new call on one of a service's routes.
+// Enter decides whether a new call on a route becomes a canary call.
 func (b *Book) Enter(name, route string) Lane {
 	if !b.InForce() {
 		return Lane{}
@@ -43,39 +43,40 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(name)
-	if !s.tries() {
+	if !s.isRollingOut() {
 		return Lane{}
 	}
-	l := Lane{trial: b.random() < s.account.chance(route, trialShare*b.share()), order: s.order.ID}
+	l := Lane{canary: b.random() < s.budget.canaryProbability(route, canaryFraction*b.share()), order: s.order.ID}
 	s.calls.All++
-	if l.trial {
+	if l.canary {
 		s.calls.Trial++
 	}
 	return l
 }
 
-// Sent notes that a call was sent to a target of a version; again says that it is not
-// the first time that it was sent.
-func (b *Book) Sent(name, version string, l Lane, again bool) {
+// Sent records an attempt at a target of a version. Attempts at the new version that
+// are not the first of a canary call are charged to the canary budget.
+func (b *Book) Sent(name, version string, l Lane, isRetry bool) {
 	if !b.InForce() {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(name)
-	drawn := l.trial && l.order == s.order.ID && !again
-	if s.tries() && version == s.order.To && !drawn {
+	drawn := l.canary && l.order == s.order.ID && !isRetry
+	if s.isRollingOut() && version == s.order.To && !drawn {
 		s.calls.Besides++
-		s.account.spend()
+		s.budget.chargeCall()
 	}
 }
 
-// tries reports whether new calls are put on trial.
-func (s *service) tries() bool { return s.order.ID != 0 && !s.state().Final() }
+// isRollingOut reports whether there is an order without a final state.
+func (s *service) isRollingOut() bool { return s.order.ID != 0 && !s.effectiveState().Final() }
 
-// state is how far the order has come, as far as this instance goes along.
-func (s *service) state() State {
-	if s.stopped && !s.status.State.Final() {
+// effectiveState returns the state that this instance acts on: it may be ahead of the
+// status in the store.
+func (s *service) effectiveState() State {
+	if s.rollBackDue && !s.status.State.Final() {
 		return RolledBack
 	}
 	if s.status.State == None && s.order.ID != 0 {
@@ -84,7 +85,7 @@
 	return s.status.State
 }
 
-// Place says where a call of a lane may be sent now.
+// Place returns where a call may be sent now.
 func (b *Book) Place(name string, l Lane, now clock.Time) Placement {
 	if !b.InForce() {
 		return Placement{}
@@ -92,9 +93,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(name)
-	p := Placement{to: s.to(), state: s.state(), trial: l.trial && l.order == s.order.ID}
-	for version, since := range s.met {
-		if p.to == "" && since.Sub(s.met[s.first]) > metTogether && now.Sub(since) < holdNew {
+	p := Placement{to: s.wantedVersion(), state: s.effectiveState(), canary: l.canary && l.order == s.order.ID}
+	for version, since := range s.firstSeen {
+		if p.to == "" && since.Sub(s.firstSeen[s.firstVersion]) > initialDiscovery && now.Sub(since) < newVersionHold {
 			if p.held == nil {
 				p.held = map[string]bool{}
 			}
@@ -104,49 +105,49 @@
 	return p
 }
 
-// Fresh reports whether a version is the one that a service is being moved to.
+// Fresh reports whether the service is being moved to the version.
 func (b *Book) Fresh(name, version string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(name)
-	return s.tries() && version == s.order.To
+	return s.isRollingOut() && version == s.order.To
 }
 
-// to is the version that the order, or the status that is left of it, names.
-func (s *service) to() string {
+// wantedVersion returns the new version of the latest order or status.
+func (s *service) wantedVersion() string {
 	if s.order.ID >= s.status.Order && s.order.ID != 0 {
 		return s.order.To
 	}
 	return s.status.To
 }
 
-// Bound reports whether not all versions are alike.
+// Bound reports whether some versions are treated differently from others.
 func (p Placement) Bound() bool { return p.state != None || len(p.held) > 0 }
 
-// OnTrial reports whether the call is to go to the new version while that is on trial.
+// OnTrial reports whether the call is a canary call of a running roll-out.
 func (p Placement) OnTrial() bool {
-	return p.trial && p.state == Running
+	return p.canary && p.state == Running
 }
 
-// Use says whether a target of a version may get the call.
+// Use says whether a target of the version may get the call.
 func (p Placement) Use(version string) Use {
-	fresh := version == p.to
+	isNew := version == p.to
 	switch {
 	case p.held[version]:
 		return Spare
 	case p.state == None:
 		return Preferred
-	case p.state == RolledBack && fresh:
+	case p.state == RolledBack && isNew:
 		return Never
 	case p.state == RolledBack:
 		return Preferred
 	case p.state == Moving || p.state == Completed || p.OnTrial():
-		return prefer(fresh)
+		return preferIf(isNew)
 	}
-	return prefer(!fresh)
+	return preferIf(!isNew)
 }
 
-func prefer(yes bool) Use {
+func preferIf(yes bool) Use {
 	if yes {
 		return Preferred
 	}
