--- a/rehearse/rehearse.go
+++ b/rehearse/rehearse.go
@@ -1,7 +1,8 @@
-// Package rehearse plays a roll-out with the product's own decisions and no network: the
-// books of several instances, targets of an old and a new version that answer as they
-// are told, and a store between the instances, all in emulated time. It shows how long a
-// verdict takes, what the new version gets until then, and how often it is wrong.
+// Package rehearse simulates a roll-out with the decisions of package rollout: several
+// instances, targets of an old and a new version with configured faults, and a store
+// with delays, all in simulated time and without a network. It shows how long a verdict
+// takes, how many calls the new version gets until then, and how often the verdict is
+// wrong.
 package rehearse
 
 import (
@@ -19,114 +20,114 @@
 // Kinds of new versions.
 const (
 	Good    Badness = "good"
-	Failing Badness = "failing" // a part of its answers are failures
-	Slow    Badness = "slow"    // a part of its answers come several times slower
+	Failing Badness = "failing" // some of its answers are errors
+	Slow    Badness = "slow"    // some of its answers take several times as long
 )
 
 const (
-	// service and version are the only ones of a play.
+	// service is the only service, and version its new version.
 	service = "service"
 	version = "new"
-	// step is the resolution of a play.
+	// step is the resolution of the simulation.
 	step = 20 * time.Millisecond
-	// lag is how long rows of the store take to another instance, at most.
-	lag = 1200 * time.Millisecond
-	// begin is when the order is given; instances know each other by then.
-	begin = 5 * time.Second
+	// maxLag bounds the delay of the store's updates to an instance.
+	maxLag = 1200 * time.Millisecond
+	// orderAt is when the order is given.
+	orderAt = 5 * time.Second
 )
 
 var (
 	// ErrBadness is wrapped by the errors of Badness.Check.
 	ErrBadness = errors.New("rehearse: unknown badness")
 
-	errAway = errors.New("rehearse: store away")
+	errStoreUnavailable = errors.New("rehearse: store unavailable")
 )
 
 type (
-	// Badness is what is wrong with a version.
+	// Badness is the kind of fault of a version.
 	Badness string
 
-	// Span is a stretch of a play, from its order on.
-	Span struct{ From, To time.Duration }
+	// Interval is a part of a simulation, relative to the order.
+	Interval struct{ From, To time.Duration }
 
-	// Play is what is played. Fields that are zero take no part.
+	// Play configures a simulation.
 	Play struct {
 		Instances int
-		Rate      float64            // calls a second
-		Routes    map[string]float64 // share of the calls, by route
-		First     time.Duration      // until an answer shows what it is
+		Rate      float64            // calls per second
+		Routes    map[string]float64 // share of the calls by route
+		First     time.Duration      // until an answer can be judged
 		Length    time.Duration      // of an answer
 		Duration  time.Duration      // of the order
 		Targets   int                // of each version
 
-		Badness Badness
-		Part    float64       // of the new version's answers that are bad
-		After   time.Duration // it is bad from then on, after the order
-		Load    float64       // it is bad with so many calls a target or more
-		Route   string        // it is bad on this route only
+		Badness  Badness
+		Part     float64       // share of the new version's answers that are bad
+		After    time.Duration // the version is bad from then on, relative to the order
+		Load     float64       // the version is bad from this number of calls per target on
+		BadRoute string        // the version is bad on this route only; empty: on all
 
-		OldBad float64 // part of the answers that is bad with either version
-		Lost   []Span  // a third of the targets of both versions is lost
-		Away   []Span  // the store does not answer
-		Ill    int     // one target in so many, of either version, spoils half of its answers
+		OldBad       float64    // share of the answers that are bad with either version
+		TargetLosses []Interval // a third of the targets of both versions is lost
+		StoreOutages []Interval // the store is unavailable
+		FaultyEvery  int        // of so many targets of either version, one spoils half of its answers; 0: none
 
-		Share, Slack float64 // the operator's bounds
+		Share, Slack float64 // the operator's bounds, as in rollout.Book
 		Seed         uint64
 	}
 
-	// Result is what came of a play.
+	// Result is the result of a simulation.
 	Result struct {
 		State     rollout.State
-		At        time.Duration // when it came to that, after the order
-		Reached   int           // calls that reached the service before the order's time was over
-		Exposed   int           // of these, those that reached the new version
-		Bound     float64       // on those, if the version is bad
+		At        time.Duration // of the last change of the state, relative to the order
+		Reached   int           // attempts between the order and the end of its duration
+		Exposed   int           // those of them at the new version
+		Bound     float64       // on Exposed, if the version is bad
 		Bad       int           // bad answers of the new version
-		LastAfter time.Duration // last sending to it, after its 50th bad answer; 0: none
+		LastAfter time.Duration // time from the 50th bad answer to the last attempt at the new version; 0: no attempt
 	}
 
-	// node is an instance.
-	node struct {
-		book   rollout.Book
-		keeper rollout.Keeper
-		lags   time.Duration
+	// instance is a simulated entry instance.
+	instance struct {
+		book     rollout.Book
+		keeper   rollout.Keeper
+		storeLag time.Duration
 	}
 
-	// call is a call that runs.
+	// call is a running call.
 	call struct {
-		node            int
-		route, target   string
-		version         string
-		badness         Badness // of its answer
-		judged, answers time.Duration
-		lost            bool
+		instance         int
+		route, target    string
+		version          string
+		badness          Badness       // of the answer
+		judgedAt, endsAt time.Duration // judgedAt is 0 once the answer is recorded
+		targetLost       bool
 	}
 
-	// world is a play in progress.
-	world struct {
-		p      Play
-		rng    *rand.Rand
-		now    time.Duration
-		nodes  []*node
-		calls  []*call
-		status rollout.Status
-		rows   []row
-		news   int
-		res    Result
-		bad50  time.Duration
-		busy   map[string]int // by version
+	// simulation is a running simulation.
+	simulation struct {
+		play          Play
+		rng           *rand.Rand
+		now           time.Duration
+		instances     []*instance
+		calls         []*call
+		status        rollout.Status
+		updates       []update
+		lastRow       int
+		result        Result
+		fiftiethBadAt time.Duration
+		load          map[string]int // calls by version
 	}
 
-	// row is a row of the store that instances have yet to learn of.
-	row struct {
-		at       time.Duration
-		status   *rollout.Status
-		evidence *rollout.Evidence
-		told     []bool
+	// update is a row of the store on its way to the instances.
+	update struct {
+		writtenAt time.Duration
+		status    *rollout.Status
+		evidence  *rollout.Evidence
+		delivered []bool // by instance
 	}
 )
 
-// Check reports whether b is one of the kinds.
+// Check returns an error if b is unknown.
 func (b Badness) Check() error {
 	if b != Good && b != Failing && b != Slow {
 		return fmt.Errorf("%w %q", ErrBadness, string(b))
@@ -134,165 +135,165 @@
 	return nil
 }
 
-// Completed reports whether the new version was taken in.
+// Completed reports whether the new version replaced the old one.
 func (r Result) Completed() bool { return r.State == rollout.Completed }
 
-// Run plays p.
+// Run runs a simulation.
 func Run(p Play) Result {
-	w := &world{p: p, rng: rand.New(rand.NewPCG(p.Seed, 1)), busy: map[string]int{}}
+	sim := &simulation{play: p, rng: rand.New(rand.NewPCG(p.Seed, 1)), load: map[string]int{}}
 	for i := range p.Instances {
-		w.nodes = append(w.nodes, w.node(i))
+		sim.instances = append(sim.instances, sim.newInstance(i))
 	}
-	for w.now = 0; w.now < begin+p.Duration+p.Length; w.now += step {
-		if w.now == begin {
-			for _, n := range w.nodes {
-				n.book.Order(rollout.Order{ID: 1, Service: service, To: version, Duration: p.Duration}, clock.Time(w.now))
+	for sim.now = 0; sim.now < orderAt+p.Duration+p.Length; sim.now += step {
+		if sim.now == orderAt {
+			for _, n := range sim.instances {
+				n.book.Order(rollout.Order{ID: 1, Service: service, To: version, Duration: p.Duration}, clock.Time(sim.now))
 			}
 		}
-		w.arrive()
-		w.answer()
-		w.deliver()
-		if w.now%(10*step) == 0 {
-			for i := range w.nodes {
-				w.nodes[i].keeper.Step(context.Background(), clock.Time(w.now), w.now)
+		sim.startCalls()
+		sim.finishCalls()
+		sim.deliverUpdates()
+		if sim.now%(10*step) == 0 {
+			for i := range sim.instances {
+				sim.instances[i].keeper.Step(context.Background(), clock.Time(sim.now), sim.now)
 			}
 		}
 	}
-	w.res.State, w.res.Bound = w.status.State, p.Share*float64(w.res.Reached)+p.Slack
-	return w.res
+	sim.result.State, sim.result.Bound = sim.status.State, p.Share*float64(sim.result.Reached)+p.Slack
+	return sim.result
 }
 
-// node makes an instance.
-func (w *world) node(i int) *node {
-	n := &node{lags: time.Duration(w.rng.Int64N(int64(lag)))}
-	n.book = rollout.Book{Share: w.p.Share, Slack: w.p.Slack, Self: rollout.Writer{Node: fmt.Sprint(i)}, Random: w.rng.Float64,
-		Instances: func() (int, bool) { return w.p.Instances, true }}
+func (sim *simulation) newInstance(i int) *instance {
+	n := &instance{storeLag: time.Duration(sim.rng.Int64N(int64(maxLag)))}
+	n.book = rollout.Book{Share: sim.play.Share, Slack: sim.play.Slack, Self: rollout.Writer{Node: fmt.Sprint(i)}, Random: sim.rng.Float64,
+		Instances: func() (int, bool) { return sim.play.Instances, true }}
 	n.book.Read()
-	n.keeper = rollout.Keeper{Book: &n.book, Store: store{w}, See: w.see,
+	n.keeper = rollout.Keeper{Book: &n.book, Store: store{sim}, See: sim.observe,
 		Turn: func(string) time.Duration { return min(time.Duration(i)*rollout.TurnGap, rollout.MaxTurn) }}
 	return n
 }
 
-func (w *world) in(spans []Span) bool {
-	return slices.ContainsFunc(spans, func(s Span) bool { return w.now >= begin+s.From && w.now < begin+s.To })
+func (sim *simulation) within(intervals []Interval) bool {
+	return slices.ContainsFunc(intervals, func(s Interval) bool { return sim.now >= orderAt+s.From && sim.now < orderAt+s.To })
 }
 
-// see is what every instance sees of the targets.
-func (w *world) see(string, string) rollout.Sight {
-	ready := w.p.Targets
-	if w.in(w.p.Lost) {
-		ready -= w.p.Targets / 3
+// observe returns what every instance sees of the targets.
+func (sim *simulation) observe(string, string) rollout.Sight {
+	ready := sim.play.Targets
+	if sim.within(sim.play.TargetLosses) {
+		ready -= sim.play.Targets / 3
 	}
-	return rollout.Sight{Old: w.p.Targets, New: w.p.Targets, NewReady: ready, OldWork: w.busy[""], NewWork: w.busy[version]}
+	return rollout.Sight{Old: sim.play.Targets, New: sim.play.Targets, NewReady: ready, OldWork: sim.load[""], NewWork: sim.load[version]}
 }
 
-// arrive lets calls come.
-func (w *world) arrive() {
-	for range w.poisson(w.p.Rate * step.Seconds()) {
-		w.place(w.rng.IntN(len(w.nodes)), w.route())
+// startCalls starts the calls of a step.
+func (sim *simulation) startCalls() {
+	for range sim.poisson(sim.play.Rate * step.Seconds()) {
+		sim.startCall(sim.rng.IntN(len(sim.instances)), sim.route())
 	}
 }
 
-func (w *world) poisson(mean float64) int {
+func (sim *simulation) poisson(mean float64) int {
 	n := 0
-	for left := w.rng.ExpFloat64(); left < mean; left += w.rng.ExpFloat64() {
+	for elapsed := sim.rng.ExpFloat64(); elapsed < mean; elapsed += sim.rng.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-func (w *world) route() string {
-	names := make([]string, 0, len(w.p.Routes))
-	for r := range w.p.Routes {
+func (sim *simulation) route() string {
+	names := make([]string, 0, len(sim.play.Routes))
+	for r := range sim.play.Routes {
 		names = append(names, r)
 	}
 	slices.Sort(names)
-	at := w.rng.Float64()
+	at := sim.rng.Float64()
 	for _, r := range names {
-		if at -= w.p.Routes[r]; at < 0 {
+		if at -= sim.play.Routes[r]; at < 0 {
 			return r
 		}
 	}
 	return names[len(names)-1]
 }
 
-// place sends a call where its instance's book says.
-func (w *world) place(node int, route string) {
-	b := &w.nodes[node].book
+// startCall sends a call to the version that its instance chooses.
+func (sim *simulation) startCall(instance int, route string) {
+	b := &sim.instances[instance].book
 	lane := b.Enter(service, route)
-	p := b.Place(service, lane, clock.Time(w.now))
-	c := &call{node: node, route: route}
+	p := b.Place(service, lane, clock.Time(sim.now))
+	c := &call{instance: instance, route: route}
 	if p.Use(version) > p.Use("") {
 		c.version = version
 	}
-	w.send(c, lane, false)
-	w.calls = append(w.calls, c)
+	sim.send(c, lane, false)
+	sim.calls = append(sim.calls, c)
 }
 
-// send has a call run.
-func (w *world) send(c *call, lane rollout.Lane, again bool) {
-	w.nodes[c.node].book.Sent(service, c.version, lane, again)
-	target := w.rng.IntN(w.p.Targets)
+// send makes an attempt of a call.
+func (sim *simulation) send(c *call, lane rollout.Lane, isRetry bool) {
+	sim.instances[c.instance].book.Sent(service, c.version, lane, isRetry)
+	target := sim.rng.IntN(sim.play.Targets)
 	if c.version == version {
-		target = w.rng.IntN(max(3, w.p.Targets/5))
+		target = sim.rng.IntN(max(3, sim.play.Targets/5))
 	}
-	c.target, c.lost = fmt.Sprint(c.version, target), w.in(w.p.Lost) && target%3 == 0
-	c.badness = w.badness(c, target)
+	c.target, c.targetLost = fmt.Sprint(c.version, target), sim.within(sim.play.TargetLosses) && target%3 == 0
+	c.badness = sim.answerBadness(c, target)
 	slow := 1.0
 	if c.badness == Slow {
 		slow = 4
 	}
-	c.judged = w.now + time.Duration(slow*float64(w.p.First))
-	c.answers = w.now + time.Duration(slow*float64(w.p.Length))
-	w.busy[c.version]++
-	if w.now >= begin && w.now < begin+w.p.Duration {
-		w.res.Reached++
+	c.judgedAt = sim.now + time.Duration(slow*float64(sim.play.First))
+	c.endsAt = sim.now + time.Duration(slow*float64(sim.play.Length))
+	sim.load[c.version]++
+	if sim.now >= orderAt && sim.now < orderAt+sim.play.Duration {
+		sim.result.Reached++
 		if c.version == version {
-			w.res.Exposed++
+			sim.result.Exposed++
 		}
 	}
-	if c.version == version && w.bad50 > 0 {
-		w.res.LastAfter = w.now - w.bad50
+	if c.version == version && sim.fiftiethBadAt > 0 {
+		sim.result.LastAfter = sim.now - sim.fiftiethBadAt
 	}
 }
 
-// badness is what is wrong with a call's answer.
-func (w *world) badness(c *call, target int) Badness {
-	p := w.p
+// answerBadness returns the fault of a call's answer.
+func (sim *simulation) answerBadness(c *call, target int) Badness {
+	p := sim.play
 	switch {
-	case w.rng.Float64() < p.OldBad, p.Ill > 0 && target%p.Ill == 0 && w.rng.Float64() < 0.5:
+	case sim.rng.Float64() < p.OldBad, p.FaultyEvery > 0 && target%p.FaultyEvery == 0 && sim.rng.Float64() < 0.5:
 		return Failing
-	case c.version != version || p.Badness == Good || p.Route != "" && p.Route != c.route:
+	case c.version != version || p.Badness == Good || p.BadRoute != "" && p.BadRoute != c.route:
 		return Good
-	case w.now < begin+p.After || float64(w.busy[version]) < p.Load*float64(max(3, p.Targets/5)):
+	case sim.now < orderAt+p.After || float64(sim.load[version]) < p.Load*float64(max(3, p.Targets/5)):
 		return Good
-	case w.rng.Float64() < p.Part:
+	case sim.rng.Float64() < p.Part:
 		return p.Badness
 	}
 	return Good
 }
 
-// answer lets answers show what they are, and end.
-func (w *world) answer() {
-	w.calls = slices.DeleteFunc(w.calls, func(c *call) bool {
-		if c.judged != 0 && w.now >= c.judged {
-			c.judged = 0
-			w.judge(c)
+// finishCalls records the answers that can be judged and removes finished calls.
+func (sim *simulation) finishCalls() {
+	sim.calls = slices.DeleteFunc(sim.calls, func(c *call) bool {
+		if c.judgedAt != 0 && sim.now >= c.judgedAt {
+			c.judgedAt = 0
+			sim.recordAnswer(c)
 		}
-		if w.now < c.answers {
+		if sim.now < c.endsAt {
 			return false
 		}
-		w.busy[c.version]--
+		sim.load[c.version]--
 		return true
 	})
 }
 
-// judge notes what an answer is, unless its target was lost, which says nothing.
-func (w *world) judge(c *call) {
-	if c.lost {
+// recordAnswer reports an answer to its instance, unless the target was lost: that says
+// nothing about the version.
+func (sim *simulation) recordAnswer(c *call) {
+	if c.targetLost {
 		return
 	}
-	b := &w.nodes[c.node].book
+	b := &sim.instances[c.instance].book
 	a := rollout.Answer{Service: service, Route: c.route, Target: c.target, Version: c.version}
 	a.Symptom, a.Bad = rollout.Failing, c.badness == Failing
 	b.Saw(a)
@@ -301,58 +302,58 @@
 		b.Saw(a)
 	}
 	if c.badness != Good && c.version == version {
-		w.res.Bad++
-		if w.res.Bad == 50 {
-			w.bad50 = w.now
+		sim.result.Bad++
+		if sim.result.Bad == 50 {
+			sim.fiftiethBadAt = sim.now
 		}
 	}
 }
 
-// deliver tells instances of rows that they have yet to learn of.
-func (w *world) deliver() {
-	for _, r := range w.rows {
-		for i, n := range w.nodes {
-			if r.told[i] || w.now < r.at+n.lags || w.in(w.p.Away) {
+// deliverUpdates delivers the updates that are due.
+func (sim *simulation) deliverUpdates() {
+	for _, u := range sim.updates {
+		for i, n := range sim.instances {
+			if u.delivered[i] || sim.now < u.writtenAt+n.storeLag || sim.within(sim.play.StoreOutages) {
 				continue
 			}
-			r.told[i] = true
-			if r.status != nil {
-				n.book.Status(*r.status)
+			u.delivered[i] = true
+			if u.status != nil {
+				n.book.Status(*u.status)
 			} else {
-				n.book.Heard(*r.evidence)
+				n.book.Heard(*u.evidence)
 			}
 		}
 	}
-	w.rows = slices.DeleteFunc(w.rows, func(r row) bool { return !slices.Contains(r.told, false) })
+	sim.updates = slices.DeleteFunc(sim.updates, func(u update) bool { return !slices.Contains(u.delivered, false) })
 }
 
-// store is the world's store.
-type store struct{ w *world }
+// store is the simulated store.
+type store struct{ sim *simulation }
 
 // Change writes a status under its condition.
 func (s store) Change(_ context.Context, c rollout.Change) (rollout.Status, error) {
-	w := s.w
-	if w.in(w.p.Away) {
-		return rollout.Status{}, errAway
+	sim := s.sim
+	if sim.within(sim.play.StoreOutages) {
+		return rollout.Status{}, errStoreUnavailable
 	}
-	if c.If != w.status.Row {
-		return w.status, rollout.ErrTaken
+	if c.If != sim.status.Row {
+		return sim.status, rollout.ErrTaken
 	}
 	st := c.Status
-	w.news++
-	st.Row = int64(w.news)
-	w.status = st
-	w.res.At = w.now - begin
-	w.rows = append(w.rows, row{at: w.now, status: &st, told: make([]bool, len(w.nodes))})
+	sim.lastRow++
+	st.Row = int64(sim.lastRow)
+	sim.status = st
+	sim.result.At = sim.now - orderAt
+	sim.updates = append(sim.updates, update{writtenAt: sim.now, status: &st, delivered: make([]bool, len(sim.instances))})
 	return st, nil
 }
 
 // Tell writes evidence.
 func (s store) Tell(_ context.Context, e rollout.Evidence) error {
-	w := s.w
-	if w.in(w.p.Away) {
-		return errAway
+	sim := s.sim
+	if sim.within(sim.play.StoreOutages) {
+		return errStoreUnavailable
 	}
-	w.rows = append(w.rows, row{at: w.now, evidence: &e, told: make([]bool, len(w.nodes))})
+	sim.updates = append(sim.updates, update{writtenAt: sim.now, evidence: &e, delivered: make([]bool, len(sim.instances))})
 	return nil
 }
