--- a/poison/doc.go
+++ b/poison/doc.go
@@ -5,7 +5,7 @@
 //
 // Instances report to their peers, and write to the store, which requests a target had
 // just started to run when it crashed (Death). A request under which three targets have
-// crashed, and that has not run well since, is quarantined: all instances reject it at
+// crashed, and that has not succeeded since, is quarantined: all instances reject it at
 // once. The state of a request depends on how soon after the start of the attempt the
 // target crashed, whether others of its zone or service were lost with it, which other
 // requests it was running, and which attempts succeeded. A quarantine ends: after a delay,
