--- a/rollout/book_test.go
+++ b/rollout/book_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, Lane{}, b.Enter(svc, "r"))
 	assert.Equal(t, [2]Use{Preferred, Preferred}, uses(&b))
 	assert.Empty(t, b.Decide(0, 0, nil))
-	assert.Empty(t, b.Unwritten(0))
+	assert.Empty(t, b.PendingEvidence(0))
 }
 
 // Calls go to the version of each state, and final states are not left.
--- a/rollout/decide.go
+++ b/rollout/decide.go
@@ -117,8 +117,8 @@
 	return float64(t.OldWork) <= maxOldLoadShare*float64(t.OldWork+t.NewWork)
 }
 
-// Unwritten returns this instance's evidence that is due to be written.
-func (b *Book) Unwritten(now clock.Time) []Evidence {
+// PendingEvidence returns this instance's evidence that is due to be written.
+func (b *Book) PendingEvidence(now clock.Time) []Evidence {
 	if !b.InForce() {
 		return nil
 	}
@@ -137,8 +137,8 @@
 	return out
 }
 
-// NotWritten records that writing the evidence failed.
-func (b *Book) NotWritten(e Evidence) {
+// EvidenceWriteFailed records that writing the evidence failed.
+func (b *Book) EvidenceWriteFailed(e Evidence) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.service(e.Service); s.order.ID == e.Order {
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -50,7 +50,7 @@
 	if !k.Book.InForce() {
 		return
 	}
-	for _, e := range k.Book.Unwritten(now) {
+	for _, e := range k.Book.PendingEvidence(now) {
 		k.writeEvidence(ctx, e)
 	}
 	due := map[string]clock.Time{}
@@ -70,7 +70,7 @@
 
 func (k *Keeper) writeEvidence(ctx context.Context, e Evidence) {
 	if err := k.Store.Tell(ctx, e); err != nil {
-		k.Book.NotWritten(e)
+		k.Book.EvidenceWriteFailed(e)
 		k.Log.Warn().Str("service", e.Service).Int64("order", e.Order).Err(err).Msg("rollout: writing evidence failed; will retry")
 	}
 }
