--- a/route/engine.go
+++ b/route/engine.go
@@ -1,125 +1,116 @@
 package route
 
-// What the choice of an engine weighs. The unit is the time in which a usual
-// prompt of the service is read at a usual engine (a reading): about a second
-// at the engines that were measured, and learnt from each deployment's own
-// streams, so that no weight stands for an engine's speed.
+// Weights of the engine score. The unit is one prefill: the time in which a
+// usual engine processes a usual prompt of the service. Callers of this
+// package measure it per service, so no weight depends on an engine's speed.
 const (
-	// runningCost is what one more running stream costs a new one: events
-	// come some percent slower beside it, and every prompt read at the engine
-	// stops all its streams for a reading. 0.4 and 0.8 were alike and better
-	// than 0.15 (docs/design/platform.md has the figures).
-	runningCost = 0.4
-	// answerWeight is the weight of the time that a slow engine takes longer
-	// for the answer itself, against that for the first event.
+	// runningStreamCost is the cost of each stream that runs at the engine:
+	// streams slow each other down, and each prefill stalls all of them.
+	runningStreamCost = 0.4
+	// answerWeight weighs a slow engine's longer generation against its
+	// longer prefill.
 	answerWeight = 0.5
-	// memoryCost is what it costs to be sent to an engine whose memory would
-	// be full, above the share memoryFree: the newest streams there are
-	// stopped and read in again when it runs out.
-	memoryCost = 8
-	memoryFree = 0.6
-	// engineZoneCost is what an engine of another zone costs: more than one
-	// running stream, so that streams stay in their zone while its engines
-	// are about as busy as others. A link between zones that loses packets
-	// then meets few of them: with one zone's links losing 2.5 to 5% for 12
-	// to 20 s, 0.97 of the streams were on time, 0.88 with 0.1. Without such
-	// links nothing was lost by it.
-	engineZoneCost = 0.5
-	// engineLossCost is what a way that loses packets costs: a packet sent
-	// again comes 200 ms late and more, so that an answer of 130 events is
-	// late nearly always; a wait of this length before its first event still
-	// leaves it in time.
-	engineLossCost = 2.5
-	// engineJitter spreads the choices of instances that know nothing of each
-	// other's calls.
-	engineJitter = 0.1
-	// engineErrorCost is what a certain failure costs.
-	engineErrorCost = 3
-	// coldCost is what an engine costs that has just started and says that
-	// it is still slow.
-	coldCost = 0.5
-	// lateCost is what it costs if the first event would come too late: less
-	// busy engines that read slowly are then no better than busy ones that are
-	// in time. With half of the engines slow and callers doubled, 0.843 of the
-	// streams were on time, 0.829 without; days without overload were alike.
-	lateCost = 5
-	// zoneTroubleCost is what it costs if all other engines of the zone have
-	// failed of late: engines of a zone fail together, and a stream that
-	// loses its engine before its first event waits for a second reading.
-	zoneTroubleCost = 6
-	// homeGain is what an engine gains by being a new call's home (see
-	// Homes), and keptGain a call's that was broken off and comes back: its
-	// prompt is most likely still in its home's memory, which saves a reading
-	// for the caller and for those behind it.
-	homeGain = 0.4
-	keptGain = 2.5
-	// secondHome is the part of that for the second home.
-	secondHome = 0.4
+	// memoryCost applies to memory use above memoryFreeShare: an engine that
+	// runs out of memory preempts its newest streams and repeats their prefill.
+	memoryCost      = 8
+	memoryFreeShare = 0.6
+	// crossZoneCost exceeds runningStreamCost, so that streams stay in their
+	// zone while its engines are about as loaded as others. Fewer streams then
+	// meet packet loss between zones.
+	crossZoneCost = 0.5
+	// packetLossCost is the cost of a link that certainly loses packets. A
+	// retransmission takes 200 ms or more; in a long stream it makes events
+	// late more often than a queue of this length does.
+	packetLossCost = 2.5
+	// jitterWeight spreads the choices of instances that don't see each
+	// other's calls yet.
+	jitterWeight = 0.1
+	// errorCost is the cost of an engine at which every call fails.
+	errorCost = 3
+	// coldStartCost is the cost of an engine that reports that it is still
+	// slow after its start.
+	coldStartCost = 0.5
+	// missedObjectiveCost is the cost of an engine whose first event is
+	// expected after the objective. It keeps slow idle engines from being
+	// preferred to busy ones that meet the objective.
+	missedObjectiveCost = 5
+	// zoneOutageCost is the cost of an engine when all other engines of its
+	// zone failed recently: a stream that loses its engine before the first
+	// event needs a second prefill.
+	zoneOutageCost = 6
+	// preferredBonus is the bonus of a new call's preferred target, and
+	// returningBonus that of the engine that probably still caches the prompt
+	// of a call which was interrupted: a cached prompt needs no prefill.
+	preferredBonus = 0.4
+	returningBonus = 2.5
+	// secondPreferredShare is the share of the bonus that the second target
+	// by rendezvous hashing gets.
+	secondPreferredShare = 0.4
 )
 
-// EngineCandidate is what is known of one model engine.
+// EngineCandidate holds what the instance knows of one model engine.
 type EngineCandidate struct {
 	Takes    bool
-	Backlog  float64 // prompts not yet read there, in readings
-	Running  int     // streams there
-	Slow     float64 // how slow it is: 1 as usual, 0 not known
-	Answer   float64 // what generating the answer takes at a usual engine, in readings
-	Memory   float64 // share of its memory that streams and copies take
-	Errors   float64
+	Backlog  float64 // outstanding prefill work, in prefills
+	Running  int     // running streams
+	Slow     float64 // event interval relative to the usual one; 0: unknown
+	Answer   float64 // generation time of the answer at a usual engine, in prefills
+	Memory   float64 // share of the engine's memory that streams and replicas take
+	Errors   float64 // share of recent calls that failed, 0 to 1
 	SameZone bool
-	Loss     float64 // how sure it is that the way there loses packets, 0 to 1
-	Trouble  float64 // share of the zone's engines that have failed of late
-	Cold     bool    // it has just started, and says that it is still slow
-	Home     float64 // 1 for the call's home, less for its second one
-	Back     bool    // the call was broken off and comes back
-	Barred   bool    // not wanted: already tried, or the wrong zone for a copy
-	Late     bool    // the first event is expected after the time within which callers expect it
+	Loss     float64 // confidence that the link to its zone loses packets, 0 to 1
+	Trouble  float64 // share of the zone's engines that were lost recently
+	Cold     bool    // reports that it is still slow after its start
+	Home     float64 // 1 for the call's preferred target, less for the second one
+	Back     bool    // the call was interrupted and its caller has reconnected
+	Barred   bool    // excluded: already tried, or in the wrong zone for a replica
+	Late     bool    // its first event is expected after the objective
 	Jitter   float64 // in [0, 1)
 }
 
-// Engines is the policy for model engines: the least time until a new
-// prompt is read and its answer made, and the least disturbance of the streams
-// beside it.
+// Engines is the policy for model engines. It minimises the time to the first
+// event and to the end of the answer, and the slowdown of other streams.
 type Engines struct{}
 
-// Usable reports whether the engine takes work.
+// Usable reports whether the engine accepts the call.
 func (Engines) Usable(c EngineCandidate) bool { return c.Takes && !c.Barred }
 
-// Score is the expected delay, in readings; lower is better.
+// Score returns the expected delay in prefills; lower is better.
 func (Engines) Score(c EngineCandidate, _ uint64) float64 {
-	slow := c.Slow
-	if slow == 0 {
-		slow = 1
+	slowdown := c.Slow
+	if slowdown == 0 {
+		slowdown = 1
 	}
-	s := slow*c.Backlog + (slow-1)*(1+answerWeight*c.Answer) + runningCost*float64(c.Running) +
-		memoryCost*max(0, c.Memory-memoryFree) + engineJitter*c.Jitter + engineErrorCost*c.Errors +
-		zoneTroubleCost*c.Trouble + engineLossCost*c.Loss
+	s := slowdown*c.Backlog + (slowdown-1)*(1+answerWeight*c.Answer) + runningStreamCost*float64(c.Running) +
+		memoryCost*max(0, c.Memory-memoryFreeShare) + jitterWeight*c.Jitter + errorCost*c.Errors +
+		zoneOutageCost*c.Trouble + packetLossCost*c.Loss
 	if c.Late {
-		s += lateCost
+		s += missedObjectiveCost
 	}
 	if c.Cold {
-		s += coldCost
+		s += coldStartCost
 	}
 	if !c.SameZone {
-		s += engineZoneCost
+		s += crossZoneCost
 	}
-	gain := float64(homeGain)
+	bonus := float64(preferredBonus)
 	if c.Back {
-		gain = keptGain
+		bonus = returningBonus
 	}
-	return s - gain*c.Home
+	return s - bonus*c.Home
 }
 
-// Homes says how much each engine is at home for a call: by rendezvous
-// hashing of what the call is about over the engines' addresses, every
-// instance finds the same home without having seen the call before, and
-// keeps it when other engines come or go. about may be empty: no home.
-func Homes(about string, addrs []string) []float64 {
+// Homes returns the affinity of a call for each engine, by rendezvous hashing
+// of the call's subject and the engines' addresses: 1 for the preferred
+// target, less for the second one, 0 for the others. All instances agree on
+// the preferred target, and it changes only when an engine joins or leaves in
+// its place. An empty subject has no preferred target.
+func Homes(subject string, addrs []string) []float64 {
 	out := make([]float64, len(addrs))
-	if about == "" {
+	if subject == "" {
 		return out
 	}
-	key := Key(about)
+	key := Key(subject)
 	first, second := -1, -1
 	var top, next float64
 	for i, a := range addrs {
@@ -135,7 +126,7 @@
 		out[first] = 1
 	}
 	if second >= 0 {
-		out[second] = secondHome
+		out[second] = secondPreferredShare
 	}
 	return out
 }
--- a/route/engine_test.go
+++ b/route/engine_test.go
@@ -13,14 +13,13 @@
 )
 
 const (
-	// viewDelayMs is how late the other entries' sends are known.
-	viewDelayMs = 10
-	// readPerMs is how many prompt tokens these engines read in a ms.
-	readPerMs = 8
+	// updateDelayMs is the time until other instances know of an attempt.
+	updateDelayMs      = 10
+	prefillTokensPerMs = 8
 )
 
 type (
-	loadCase struct {
+	loadPattern struct {
 		Name       string
 		Entries    int
 		Engines    int
@@ -34,40 +33,40 @@
 		OnTroubled int     `yaml:"onTroubled"`
 	}
 
-	sent struct {
+	sentCall struct {
 		at, engine, entry int
 	}
 
-	// loadRun replays one case.
+	// loadRun replays one pattern with one seed.
 	loadRun struct {
-		loadCase
+		loadPattern
 		rng  *rand.Rand
-		done []sent
+		sent []sentCall
 	}
 )
 
-// draws is how often each pattern is drawn; the bounds hold for the mean.
-const draws = 40
+// repetitions is the number of seeds per pattern; the bounds hold for their mean.
+const repetitions = 40
 
-// TestLoads replays load patterns and bounds the longest queue, as a mean
-// over draws.
+// Guards against queues of prompts that build up at some engines while others
+// are idle.
 func TestLoads(t *testing.T) {
-	for _, tt := range cases.Load[loadCase](t, "testdata/loads.yaml") {
+	for _, tt := range cases.Load[loadPattern](t, "testdata/loads.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
-			worst := 0.0
-			for seed := range uint64(draws) {
-				r := &loadRun{loadCase: tt, rng: rand.New(rand.NewPCG(seed, 7))}
-				worst += r.play() / draws
-				assert.LessOrEqual(t, r.troubledSends(), tt.OnTroubled)
+			longestQueueMs := 0.0
+			for seed := range uint64(repetitions) {
+				r := &loadRun{loadPattern: tt, rng: rand.New(rand.NewPCG(seed, 7))}
+				longestQueueMs += r.play() / repetitions
+				assert.LessOrEqual(t, r.sentToFailed(), tt.OnTroubled)
 			}
-			t.Logf("longest queue %.0f ms", worst)
-			assert.LessOrEqual(t, worst, tt.Worst)
-			assert.GreaterOrEqual(t, worst, tt.AtLeast)
+			t.Logf("longest queue %.0f ms", longestQueueMs)
+			assert.LessOrEqual(t, longestQueueMs, tt.Worst)
+			assert.GreaterOrEqual(t, longestQueueMs, tt.AtLeast)
 		})
 	}
 }
 
-// play sends all streams and returns the longest queue that one found, in ms.
+// play sends all streams and returns the longest queue that any of them met, in ms.
 func (r *loadRun) play() float64 {
 	times := make([]int, r.Streams)
 	for i := range times {
@@ -78,28 +77,28 @@
 	for _, at := range times {
 		entry := r.rng.IntN(r.Entries)
 		engine := r.choose(at, entry)
-		worst = max(worst, r.queue(at, engine, func(sent) bool { return true })/readPerMs)
-		r.done = append(r.done, sent{at: at, engine: engine, entry: entry})
+		worst = max(worst, r.queue(at, engine, func(sentCall) bool { return true })/prefillTokensPerMs)
+		r.sent = append(r.sent, sentCall{at: at, engine: engine, entry: entry})
 	}
 	return worst
 }
 
 func (r *loadRun) choose(at, entry int) int {
-	known := func(s sent) bool { return s.entry == entry || r.Shared && s.at+viewDelayMs <= at }
+	known := func(s sentCall) bool { return s.entry == entry || r.Shared && s.at+updateDelayMs <= at }
 	cands := make([]EngineCandidate, r.Engines)
 	addrs := make([]string, r.Engines)
 	for i := range addrs {
 		addrs[i] = fmt.Sprintf("10.0.0.%d:80", i)
 	}
-	homes := Homes(fmt.Sprint(r.rng.Uint64()), addrs)
+	affinities := Homes(fmt.Sprint(r.rng.Uint64()), addrs)
 	for i := range cands {
 		running := 0
-		for _, s := range r.done {
+		for _, s := range r.sent {
 			if s.engine == i && known(s) {
 				running++
 			}
 		}
-		cands[i] = EngineCandidate{Takes: true, Backlog: r.queue(at, i, known) / float64(r.Prompt), Running: running, Home: homes[i], Jitter: r.rng.Float64()}
+		cands[i] = EngineCandidate{Takes: true, Backlog: r.queue(at, i, known) / float64(r.Prompt), Running: running, Home: affinities[i], Jitter: r.rng.Float64()}
 		if i < r.Troubled {
 			cands[i].Trouble = 1
 		}
@@ -107,22 +106,23 @@
 	return Pick(cands, Engines{}, 0)
 }
 
-// queue is how many tokens wait at an engine, of the sends that count.
-func (r *loadRun) queue(at, engine int, counts func(sent) bool) float64 {
+// queue returns the prompt tokens that wait at an engine, of the calls that
+// counts selects.
+func (r *loadRun) queue(at, engine int, counts func(sentCall) bool) float64 {
 	tokens, last := 0.0, 0
-	for _, s := range r.done {
+	for _, s := range r.sent {
 		if s.engine != engine || !counts(s) {
 			continue
 		}
-		tokens = max(0, tokens-readPerMs*float64(s.at-last)) + float64(r.Prompt)
+		tokens = max(0, tokens-prefillTokensPerMs*float64(s.at-last)) + float64(r.Prompt)
 		last = s.at
 	}
-	return max(0, tokens-readPerMs*float64(at-last))
+	return max(0, tokens-prefillTokensPerMs*float64(at-last))
 }
 
-func (r *loadRun) troubledSends() int {
+func (r *loadRun) sentToFailed() int {
 	n := 0
-	for _, s := range r.done {
+	for _, s := range r.sent {
 		if s.engine < r.Troubled {
 			n++
 		}
@@ -130,14 +130,14 @@
 	return n
 }
 
-// A call's home stays when other engines come or go, and calls spread over
-// all of them.
+// Guards against a preferred target that changes when an unrelated engine
+// leaves, and against an uneven spread of calls over the engines.
 func TestHomes(t *testing.T) {
 	addrs := []string{"a", "b", "c", "d", "e", "f"}
 	count := map[int]int{}
 	for i := range 600 {
-		about := fmt.Sprint("subject-", i)
-		h := Homes(about, addrs)
+		subject := fmt.Sprint("subject-", i)
+		h := Homes(subject, addrs)
 		first := -1
 		for j, v := range h {
 			if v == 1 {
@@ -147,7 +147,7 @@
 		require.GreaterOrEqual(t, first, 0)
 		count[first]++
 		if first < 5 {
-			assert.Equal(t, 1.0, Homes(about, addrs[:5])[first], "the home moved though only another engine left")
+			assert.Equal(t, 1.0, Homes(subject, addrs[:5])[first], "the preferred target changed although another engine left")
 		}
 	}
 	for i := range addrs {
@@ -156,8 +156,8 @@
 	assert.Equal(t, make([]float64, 6), Homes("", addrs))
 }
 
-// BenchmarkEngines measures the choice of an engine, homes included, at
-// today's number of engines and at that of the largest size planned for.
+// BenchmarkEngines measures the choice of an engine, including the preferred
+// targets.
 func BenchmarkEngines(b *testing.B) {
 	for _, n := range []int{24, 740} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
--- a/route/plain.go
+++ b/route/plain.go
@@ -1,58 +1,54 @@
 package route
 
 const (
-	// unknownLatencyMs stands for a response time that is not known yet; it
-	// is of the order of a plain service's work, so that a new target gets
-	// its share of calls.
-	unknownLatencyMs = 40
-	// errorCostMs is what a certain failure costs, in ms of waiting: a
-	// failed call is worth nothing, as one that takes a caller's whole
-	// expectation.
+	// defaultLatencyMs is assumed for a target without measured response
+	// times, so that a new target gets its share of calls.
+	defaultLatencyMs = 40
+	// errorCostMs is the cost of a target at which every call fails.
 	errorCostMs = 300
-	// plainLossMs is what a way that loses packets costs, in ms: one in
-	// twenty of its calls waits 200 ms for a packet to be sent again.
-	plainLossMs = 30
-	// coldShare is the part of its usual response time that a target which
-	// has just started takes longer, until its own answers show more.
-	coldShare = 0.5
-	// plainZoneMs is the way to another zone and back.
-	plainZoneMs = 2
+	// plainPacketLossCostMs is the cost of a link that certainly loses
+	// packets: some of its calls wait 200 ms for a retransmission.
+	plainPacketLossCostMs = 30
+	// coldStartShare is the share of its usual response time by which a
+	// target is expected to be slower just after its start.
+	coldStartShare = 0.5
+	// crossZoneLatencyMs is the round-trip time to another zone.
+	crossZoneLatencyMs = 2
 )
 
-// PlainCandidate is what is known of one target of a plain service.
+// PlainCandidate holds what the instance knows of one target of a plain service.
 type PlainCandidate struct {
 	Takes     bool
-	LatencyMs float64 // usual response time; 0: not known
-	Errors    float64 // share of failed calls of late
-	Running   int     // calls of this instance in progress there
-	Slots     int     // calls the target works on at once
+	LatencyMs float64 // usual response time; 0: unknown
+	Errors    float64 // share of recent calls that failed
+	Running   int     // calls of this instance in progress
+	Slots     int     // calls that the target runs concurrently
 	SameZone  bool
-	Cold      bool    // it has just started, and says that it is still slow
-	Loss      float64 // how sure it is that the way there loses packets, 0 to 1
+	Cold      bool    // reports that it is still slow after its start
+	Loss      float64 // confidence that the link to its zone loses packets, 0 to 1
 	Jitter    float64 // in [0, 1), breaks ties
 }
 
-// Plain is the policy for plain services: the least expected wait, failures
-// counted as waiting. A target that fails more than its peers or answers
-// slowly gets less.
+// Plain is the policy for plain services: the lowest expected response time,
+// with failures counted as delay.
 type Plain struct{}
 
-// Usable reports whether the target takes work.
+// Usable reports whether the target accepts calls.
 func (Plain) Usable(c PlainCandidate) bool { return c.Takes }
 
-// Score is the expected wait in ms; lower is better.
+// Score returns the expected response time in ms; lower is better.
 func (Plain) Score(c PlainCandidate, _ uint64) float64 {
 	lat := c.LatencyMs
 	if lat == 0 {
-		lat = unknownLatencyMs
+		lat = defaultLatencyMs
 	}
 	queue := float64(c.Running) / float64(max(c.Slots, 1))
 	s := lat*(1+queue) + errorCostMs*c.Errors + 5*float64(c.Running) + lat*0.3*c.Jitter
 	if c.Cold {
-		s += coldShare * lat
+		s += coldStartShare * lat
 	}
 	if !c.SameZone {
-		s += plainZoneMs
+		s += crossZoneLatencyMs
 	}
-	return s + plainLossMs*c.Loss
+	return s + plainPacketLossCostMs*c.Loss
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,10 +1,6 @@
-// Package route picks the target for a request: among the healthy targets
-// that serve its kind and model and are not draining, the one with the
-// least estimated load, where the estimate is the target's last (lagging)
-// load report plus the work this entry sent it since that report was taken.
-// A request's prompt prefix adds affinity for the target most likely to
-// hold it in its prefix cache (rendezvous hashing), and the entry's own
-// zone wins ties.
+// Package route picks the target of a call. A policy scores each candidate by
+// its load, health and zone and by whether it probably caches the call's
+// prompt; the usable candidate with the lowest score wins.
 package route
 
 import (
@@ -12,22 +8,22 @@
 	"math"
 )
 
-// Weights of the default policy.
+// Weights of LeastLoaded, in running requests.
 const (
-	affinityBonus = 0.75 // in units of one running sequence
+	affinityBonus = 0.75
 	zoneBonus     = 0.25
 )
 
 type (
-	// Candidate is what the router knows of one target.
+	// Candidate holds what LeastLoaded knows of one target.
 	Candidate struct {
 		Name      string
 		Zone      string
 		Healthy   bool
 		Draining  bool
 		Serves    bool // serves the request's kind and model
-		Reported  int  // running + waiting in the last load report
-		SentSince int  // started here since that report was taken
+		Reported  int  // running and queued requests in the last load report
+		SentSince int  // requests that this instance sent since that report
 	}
 
 	// Policy scores a candidate for a request key; lower is better.
@@ -36,7 +32,7 @@
 		Usable(c C) bool
 	}
 
-	// LeastLoaded is the default policy: load estimate, cache affinity and
+	// LeastLoaded scores targets by estimated load, prefix-cache affinity and
 	// zone. The zero value prefers no zone.
 	LeastLoaded struct {
 		Zone string
@@ -57,11 +53,11 @@
 	return best
 }
 
-// Usable is true for a healthy target that serves the request and is not
+// Usable reports whether the target is healthy, serves the request and is not
 // draining.
 func (p LeastLoaded) Usable(c Candidate) bool { return c.Healthy && c.Serves && !c.Draining }
 
-// Score is the load estimate less the affinity and zone bonuses.
+// Score returns the load estimate less the affinity and zone bonuses.
 func (p LeastLoaded) Score(c Candidate, key uint64) float64 {
 	s := float64(c.Reported + c.SentSince)
 	s -= affinityBonus * Affinity(key, c.Name)
@@ -71,7 +67,7 @@
 	return s
 }
 
-// Affinity is the rendezvous weight of a key on a target, in [0, 1).
+// Affinity returns the rendezvous weight of a key at a target, in [0, 1).
 func Affinity(key uint64, name string) float64 {
 	h := fnv.New64a()
 	var b [8]byte
@@ -83,7 +79,7 @@
 	return float64(h.Sum64()>>11) / float64(1<<53)
 }
 
-// Key hashes a routing key (organisation, model and prompt prefix).
+// Key hashes the parts of a routing key.
 func Key(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -18,8 +18,8 @@
 	assert.Equal(t, -1, Pick(c[:3], LeastLoaded{}, 1))
 }
 
-// Work sent since the last (late) report counts against a target, so a
-// burst between two reports is spread instead of landing on one target.
+// Guards against sending a burst that arrives between two load reports to one
+// target.
 func TestSentSinceReportSpreads(t *testing.T) {
 	c := []Candidate{{Name: "a", Healthy: true, Serves: true}, {Name: "b", Healthy: true, Serves: true}}
 	counts := map[string]int{}
@@ -38,7 +38,6 @@
 	assert.NotEqual(t, Affinity(k, "a"), Affinity(k, "b"))
 }
 
-// BenchmarkPick measures one routing decision at two fleet sizes.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{50, 740} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/route/zones_test.go
+++ b/route/zones_test.go
@@ -6,29 +6,27 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The load: one zone's links lose one packet in twenty for some seconds.
-// Streams stay in their zone while its engines are about as busy as others, so
-// that few of them meet the loss; and while a way is known to lose packets, a
-// queue of some prompts in the own zone is better.
+// Guards against streams that leave their zone without need and meet packet
+// loss between zones.
 func TestZones(t *testing.T) {
 	tests := []struct {
-		name      string
-		own, away EngineCandidate
-		stays     bool
+		name          string
+		local, remote EngineCandidate
+		stays         bool
 	}{
-		{"alike", EngineCandidate{}, EngineCandidate{}, true},
-		{"one stream more", EngineCandidate{Running: 1}, EngineCandidate{}, true},
-		{"two streams more", EngineCandidate{Running: 2}, EngineCandidate{}, false},
-		{"a prompt waits", EngineCandidate{Backlog: 1, Running: 1}, EngineCandidate{}, false},
-		{"home is away", EngineCandidate{}, EngineCandidate{Home: 1}, true},
-		{"the prompt is away, the stream comes back", EngineCandidate{Back: true}, EngineCandidate{Back: true, Home: 1}, false},
-		{"the zone has failed", EngineCandidate{Trouble: 1}, EngineCandidate{Running: 3}, false},
-		{"the way loses packets, two prompts wait", EngineCandidate{Backlog: 2, Running: 2}, EngineCandidate{Loss: 1}, true},
-		{"the way loses packets, the zone has failed", EngineCandidate{Trouble: 1}, EngineCandidate{Loss: 1}, false},
+		{"equal load", EngineCandidate{}, EngineCandidate{}, true},
+		{"one more local stream", EngineCandidate{Running: 1}, EngineCandidate{}, true},
+		{"two more local streams", EngineCandidate{Running: 2}, EngineCandidate{}, false},
+		{"a local prompt waits", EngineCandidate{Backlog: 1, Running: 1}, EngineCandidate{}, false},
+		{"preferred target in the other zone", EngineCandidate{}, EngineCandidate{Home: 1}, true},
+		{"interrupted stream, cached prefix in the other zone", EngineCandidate{Back: true}, EngineCandidate{Back: true, Home: 1}, false},
+		{"local zone outage", EngineCandidate{Trouble: 1}, EngineCandidate{Running: 3}, false},
+		{"link loses packets, two local prompts wait", EngineCandidate{Backlog: 2, Running: 2}, EngineCandidate{Loss: 1}, true},
+		{"link loses packets, local zone outage", EngineCandidate{Trouble: 1}, EngineCandidate{Loss: 1}, false},
 	}
 	for _, tt := range tests {
-		tt.own.Takes, tt.away.Takes, tt.own.SameZone = true, true, true
-		assert.Equal(t, tt.stays, Pick([]EngineCandidate{tt.own, tt.away}, Engines{}, 0) == 0, tt.name)
+		tt.local.Takes, tt.remote.Takes, tt.local.SameZone = true, true, true
+		assert.Equal(t, tt.stays, Pick([]EngineCandidate{tt.local, tt.remote}, Engines{}, 0) == 0, tt.name)
 	}
 	calls := []PlainCandidate{{Takes: true, SameZone: true, LatencyMs: 40, Running: 2, Slots: 6}, {Takes: true, LatencyMs: 40, Slots: 6}}
 	assert.Equal(t, 1, Pick(calls, Plain{}, 0))
