--- a/admit/admit.go
+++ b/admit/admit.go
@@ -1,8 +1,7 @@
-// Package admit decides which streams are not worth sending to an engine:
-// those that cannot end before their caller leaves, even if all goes well.
-// They are refused at once, which tells the caller the truth early and leaves
-// the engines to streams that can still be served. What engines can do is
-// learnt (package pace); where it is not known, no stream is refused.
+// Package admit controls admission: it finds the streams that can't end before
+// their callers' deadlines, and bounds the memory that request bodies take.
+// Rejecting a stream that can't meet its deadline leaves the engines to streams
+// that can. Estimates come from package pace; without them no stream is rejected.
 package admit
 
 import (
@@ -11,19 +10,19 @@
 	"github.com/ragworthitch/ragworthitch/pace"
 )
 
-// Stream is what is known of a stream before it is sent.
+// Stream holds what the instance knows of a stream before an attempt.
 type Stream struct {
 	Pace    pace.Pace     // of its service
-	Gap     time.Duration // between events at the engine it would go to; 0: as usual
-	Left    time.Duration // until the caller leaves
-	Prompt  int           // tokens to be read
-	Backlog int           // prompt tokens that wait at that engine
-	Output  int           // most tokens to be generated
-	Stride  int           // tokens in an event
-	After   int64         // events the caller has
+	Gap     time.Duration // event interval at the chosen engine; 0: the service's usual one
+	Left    time.Duration // remaining time until the caller's deadline
+	Prompt  int           // prompt tokens without a cached prefix
+	Backlog int           // prompt tokens of other streams that wait at the engine
+	Output  int           // maximum number of tokens to generate
+	Stride  int           // tokens per event
+	After   int64         // resume offset
 }
 
-// Most is how many events the answer has at most; 0 if that is not known.
+// Most returns the maximum number of events in the answer; 0 if unknown.
 func (s Stream) Most() int64 {
 	if s.Stride <= 0 {
 		return 0
@@ -31,36 +30,35 @@
 	return int64(s.Output / s.Stride)
 }
 
-// Needs is the shortest time in which the stream can end: its prompt is read,
-// and as many events as the shortest answers have follow without a pause.
-func (s Stream) Needs() time.Duration {
-	gap := s.Gap
-	if gap == 0 {
-		gap = s.Pace.Gap
+// MinDuration returns the shortest time in which the stream can end: the prefill
+// and the events of a short answer, undisturbed by other streams.
+func (s Stream) MinDuration() time.Duration {
+	interval := s.Gap
+	if interval == 0 {
+		interval = s.Pace.Gap
 	}
-	return s.Pace.Reading(s.Backlog+s.Prompt, gap) + s.answer(s.Pace.Short, gap)
+	return s.Pace.Reading(s.Backlog+s.Prompt, interval) + s.generation(s.Pace.Short, interval)
 }
 
-// Likely is the time that the stream usually takes beside others, at an idle
-// engine; 0 if that is not known. An answer may be as long as its caller
-// allows where no other is known.
+// Likely returns the usual duration of the stream at an engine without backlog;
+// 0 if unknown. Without a known answer length it assumes the maximum.
 func (s Stream) Likely() time.Duration {
-	length := s.Pace.Length
-	if length == 0 {
-		length = 1
+	share := s.Pace.Length
+	if share == 0 {
+		share = 1
 	}
-	return s.Pace.Reading(s.Prompt, s.Pace.Gap) + s.answer(length, s.Pace.Whole)
+	return s.Pace.Reading(s.Prompt, s.Pace.Gap) + s.generation(share, s.Pace.Whole)
 }
 
-// answer is the time for the events that are still to come of an answer of a
-// share of the most.
-func (s Stream) answer(share float64, gap time.Duration) time.Duration {
+// generation returns the time for the remaining events of an answer whose
+// length is a share of the maximum.
+func (s Stream) generation(share float64, interval time.Duration) time.Duration {
 	if share == 0 {
 		return 0
 	}
 	events := max(1, int64(share*float64(s.Most()))-s.After)
-	return time.Duration(events) * gap
+	return time.Duration(events) * interval
 }
 
-// Hopeless reports whether the stream cannot end in time.
-func (s Stream) Hopeless() bool { return s.Needs() > s.Left }
+// Hopeless reports whether the stream can't end before its deadline.
+func (s Stream) Hopeless() bool { return s.MinDuration() > s.Left }
--- a/admit/memory_test.go
+++ b/admit/memory_test.go
@@ -8,8 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Bodies take memory while they are read, and what does not fit is refused without
-// taking from others.
+// Guards against memory that a rejected body keeps reserved.
 func TestMemory(t *testing.T) {
 	m := NewMemory(10)
 	a, err := m.Read(strings.NewReader("123456"))
