--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -20,7 +20,7 @@
 
 type budgetCase struct {
 	Name    string
-	Entries int // known at 0 s; 0: not known
+	Entries int // known at 0 s; 0: unknown
 	Steps   []struct {
 		Calls, Spend, Granted int
 		At                    float64
@@ -47,78 +47,74 @@
 	}
 }
 
-// seen is how an entry sees the number of entries: late, and without those that
-// have been added since.
-type seen struct {
-	b    *Budget
-	n    int
-	at   clock.Time
-	busy bool // its calls fail
+// instance is an entry instance whose view of the number of instances is late.
+type instance struct {
+	b       *Budget
+	n       int
+	at      clock.Time
+	failing bool // its calls fail
 }
 
-// The load: every call fails, or one zone's do, again and again, at 1 to 400 entries that come and go
-// and see each other late, while the table of entries is read or not. In no window of
-// the operator's length do their repeats together pass the limit for their calls
-// together. The quiet service has next to no calls, so that the allowance is all
-// that there is to share.
+// Guards against instances that together exceed the retry budget in some window
+// while calls fail, instances come and go, and their number is stale or unknown.
+// With few calls only the extra retries are shared.
 func TestEntriesTogether(t *testing.T) {
-	for _, tt := range cases.Load[stormCase](t, "testdata/storms.yaml") {
+	for _, tt := range cases.Load[deploymentCase](t, "testdata/storms.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
-			use := 0.0
+			maxUse := 0.0
 			for seed := range uint64(3) {
-				use = max(use, tt.play(t, seed))
+				maxUse = max(maxUse, tt.play(t, seed))
 			}
-			t.Logf("largest use of the limit: %.2f", use)
-			assert.GreaterOrEqual(t, use, tt.Use, "the limit is of no use")
+			t.Logf("largest use of the limit: %.2f", maxUse)
+			assert.GreaterOrEqual(t, maxUse, tt.Use, "too little of the limit is used")
 		})
 	}
 }
 
-// stormCase is a deployment whose entries change; see testdata/storms.yaml.
-type stormCase struct {
-	Name    string
-	Entries int     // at the start
-	Quiet   bool    // one call a second for all, in place of one a second for each
-	Unread  bool    // the table of entries cannot be read at the start
-	Lost    float64 // the table cannot be read from this second on; 0: it always can
-	// Zones is how many zones the entries belong to, whose calls fail one zone
-	// after the other, 2.5 s each; entries borrow of others then. 0: the calls of
-	// all fail, all the time.
+// deploymentCase is a deployment whose instances change; see testdata/storms.yaml.
+type deploymentCase struct {
+	Name       string
+	Entries    int     // at the start
+	Quiet      bool    // one call per second in total instead of one per instance
+	Unreadable bool    // the table of instances can't be read
+	Outage     float64 // second from which the table can't be read; 0: none
+	// Zones is the number of zones, whose calls fail one zone after the other, 2.5 s
+	// each, while instances borrow from others. 0: all calls fail all the time.
 	Zones   int
 	Changes []struct {
-		At    float64
-		Add   int
-		Lose  int
-		Start bool // all start anew at once
+		At      float64
+		Add     int
+		Remove  int
+		Restart bool // of all instances
 	}
-	Use float64 // at least so much of the limit is used at the peak
+	Use float64 // least share of the limit that is used at the peak
 }
 
 // play returns the largest use of the limit in any window.
-func (tt stormCase) play(t *testing.T, seed uint64) float64 {
-	const ticks, tick, late = 400, 100 * time.Millisecond, 1500 * time.Millisecond
+func (tt deploymentCase) play(t *testing.T, seed uint64) float64 {
+	const ticks, tick, readInterval = 400, 100 * time.Millisecond, 1500 * time.Millisecond
 	rng := rand.New(rand.NewPCG(seed, 4))
-	var all []*seen
+	var all []*instance
 	add := func() {
-		e := &seen{}
+		e := &instance{}
 		e.b = New(testLimit, func() (int, clock.Time, bool) { return e.n, e.at, e.n > 0 })
 		all = append(all, e)
 	}
 	for range tt.Entries {
 		add()
 	}
-	calls, repeats := make([]int, ticks), make([]int, ticks)
+	calls, retries := make([]int, ticks), make([]int, ticks)
 	for i := range ticks {
 		now := at(float64(i) * tick.Seconds())
 		for _, c := range tt.Changes {
 			if int(c.At/tick.Seconds()) != i {
 				continue
 			}
-			all = all[c.Lose:]
+			all = all[c.Remove:]
 			for range c.Add {
 				add()
 			}
-			if c.Start {
+			if c.Restart {
 				n := len(all)
 				all = nil
 				for range n {
@@ -126,9 +122,9 @@
 				}
 			}
 		}
-		readable := !tt.Unread && (tt.Lost == 0 || float64(i)*tick.Seconds() < tt.Lost)
+		readable := !tt.Unreadable && (tt.Outage == 0 || float64(i)*tick.Seconds() < tt.Outage)
 		for n, e := range all {
-			if readable && rng.Float64() < float64(tick)/float64(late) {
+			if readable && rng.Float64() < float64(tick)/float64(readInterval) {
 				e.n, e.at = len(all), now
 			}
 			due := rng.Float64() < tick.Seconds()
@@ -139,33 +135,33 @@
 				calls[i]++
 				e.b.Called("svc", now)
 			}
-			e.busy = tt.Zones == 0 || n%tt.Zones == int(float64(i)*tick.Seconds()/2.5)%tt.Zones
+			e.failing = tt.Zones == 0 || n%tt.Zones == int(float64(i)*tick.Seconds()/2.5)%tt.Zones
 			for range 4 {
-				if !e.busy {
+				if !e.failing {
 					break
 				}
 				if !e.b.Spend("svc", now) {
 					lender := all[rng.IntN(len(all))].b
 					lent := lender.Lend("svc", 2, now)
-					if rng.IntN(10) > 0 { // else the loan is lost on its way
+					if rng.IntN(10) > 0 { // otherwise the reply is lost
 						e.b.Borrowed("svc", lent, now)
 					}
 					if !e.b.Spend("svc", now) {
 						continue
 					}
 				}
-				repeats[i]++
+				retries[i]++
 			}
 		}
 	}
-	use, window := 0.0, int(testLimit.Span/tick)
+	maxUse, window := 0.0, int(testLimit.Span/tick)
 	for i := window; i <= ticks; i++ {
 		c, r := 0, 0
 		for j := i - window; j < i; j++ {
-			c, r = c+calls[j], r+repeats[j]
+			c, r = c+calls[j], r+retries[j]
 		}
-		use = max(use, float64(r)/(testLimit.Ratio*float64(c)+testLimit.Extra))
+		maxUse = max(maxUse, float64(r)/(testLimit.Ratio*float64(c)+testLimit.Extra))
 		require.LessOrEqual(t, float64(r), testLimit.Ratio*float64(c)+testLimit.Extra, "seed %d, window ending at tick %d", seed, i)
 	}
-	return use
+	return maxUse
 }
--- a/budget/loan.go
+++ b/budget/loan.go
@@ -7,49 +7,47 @@
 )
 
 const (
-	// lendShare is the part of its limit up to which an entry lends. It keeps one
-	// repeat in ten for its own calls, whose targets may fail next; it may then
-	// borrow as well.
-	lendShare = 0.9
-	// creditTime is how long a borrowed repeat may be used. The lender has
-	// counted it when it lent it; that much later, at the most, it reaches the
-	// service.
-	creditTime = time.Second
+	// maxLentShare is the share of its limit up to which an instance lends. The rest
+	// is reserved for its own calls, whose targets may fail next.
+	maxLentShare = 0.9
+	// loanLifetime is how long a borrowed retry is valid. The lender counts a retry
+	// when it lends it; the lifetime bounds how much later the service receives it.
+	loanLifetime = time.Second
 )
 
-// credit are repeats that were borrowed.
-type credit struct {
-	n     int
-	until clock.Time
+// borrowedRetries are retries that other instances have lent.
+type borrowedRetries struct {
+	n       int
+	expires clock.Time
 }
 
-// Lend takes up to n repeats of a service out of the budget for another entry, and
-// returns how many. They count as used here, whatever becomes of them: a loan that
-// is lost on its way is used by nobody, and the limit holds.
+// Lend takes up to n retries of a service out of the budget for another instance
+// and returns their number. They count as used here even if the reply is lost, so
+// the limit holds.
 func (b *Budget) Lend(service string, n int, now clock.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service, now)
-	limit, used := b.state(w, now)
-	n = max(0, min(n, int(lendShare*limit-float64(used))))
-	w.repeats[w.at%buckets] += n
+	limit, used := b.usage(w, now)
+	n = max(0, min(n, int(maxLentShare*limit-float64(used))))
+	w.retries[w.newest%buckets] += n
 	return n
 }
 
-// Borrowed adds repeats of a service that another entry has lent.
+// Borrowed adds retries of a service that another instance has lent.
 func (b *Budget) Borrowed(service string, n int, now clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service, now)
-	if now >= w.credit.until {
-		w.credit.n = 0
+	if now >= w.borrowed.expires {
+		w.borrowed.n = 0
 	}
-	w.credit = credit{n: w.credit.n + n, until: now.Add(creditTime)}
+	w.borrowed = borrowedRetries{n: w.borrowed.n + n, expires: now.Add(loanLifetime)}
 }
 
-// take uses a borrowed repeat, if there is one.
-func (c *credit) take(now clock.Time) bool {
-	if c.n == 0 || now >= c.until {
+// take uses a borrowed retry and reports whether there was one.
+func (c *borrowedRetries) take(now clock.Time) bool {
+	if c.n == 0 || now >= c.expires {
 		return false
 	}
 	c.n--
