--- a/lend/lend.go
+++ b/lend/lend.go
@@ -1,8 +1,8 @@
-// Package lend moves repeats between entry instances. Each keeps to its own part
-// of the operator's limit, but failures do not come evenly: the instances of a zone
-// whose engines were lost need several times their part within a second, while the
-// others need none. One that has used up its part borrows of instances in other
-// zones; what they lend they count as used, so that the limit holds.
+// Package lend lends retries between entry instances. Each instance has its own
+// part of the retry budget, but failures are uneven: in a zone outage the instances
+// of that zone need several times their part, while the others need none. An
+// instance without retries borrows from instances in other zones; the lender counts
+// what it lends as used, so that the budget holds.
 package lend
 
 import (
@@ -21,76 +21,73 @@
 )
 
 const (
-	// repeats is how many are asked for at once: an instance has a few streams
-	// at the engines of a zone.
-	repeats = 4
-	// lenders is how many instances are asked, one after the other, until one
-	// lends: nearly all others have something to lend when one zone fails.
-	lenders = 5
-	// answerTime bounds what one of them may take, connection included: some
-	// 4 ms between zones, and a stream has to go on within the 700 ms that its
-	// caller allows.
-	answerTime = 40 * time.Millisecond
-	// pause is the least time between two rounds of questions that brought
-	// nothing, so that an overload that uses up everybody's part is not one of
-	// questions too.
-	pause = 250 * time.Millisecond
-	// idleTime is how long a connection is kept on which nothing is asked.
-	idleTime = 60 * time.Second
+	// retriesPerLoan covers the few streams that an instance has in one zone.
+	retriesPerLoan = 4
+	// maxLenders is the number of instances that are asked in a round, one after the
+	// other, until one of them lends.
+	maxLenders = 5
+	// lenderTimeout bounds the request to one lender, including the connection. It
+	// must leave time for the failover that waits for the retry.
+	lenderTimeout = 40 * time.Millisecond
+	// roundInterval is the time after a failed round during which no new one starts.
+	// It limits the requests in an overload, when no instance has retries to lend.
+	roundInterval = 250 * time.Millisecond
+	idleTimeout   = 60 * time.Second
 )
 
 type (
-	// Lender lends out of a budget to other instances.
+	// Lender serves retries out of a budget to other instances.
 	Lender struct {
 		Budget *budget.Budget
 		Log    zerolog.Logger
 	}
 
-	// Borrower borrows of other instances.
+	// Borrower borrows retries from other instances.
 	Borrower struct {
 		Zone   string
 		Peers  func() []exchange.Peer
 		Budget *budget.Budget
 		Log    zerolog.Logger
 
-		mu      sync.Mutex
-		rounds  map[string]*round // under way, by service
-		restsTo map[string]clock.Time
-		conns   map[string]*wire.Conn // idle ones, by address
+		mu        sync.Mutex
+		rounds    map[string]*round     // in progress, by service
+		notBefore map[string]clock.Time // of the next round, by service
+		conns     map[string]*wire.Conn // idle ones, by address
 	}
 
-	// round is one round of questions.
+	// round is one sequence of requests for a service; done is closed at its end.
 	round struct{ done chan struct{} }
 )
 
-// ServeHTTP lends to one instance until its connection ends.
+// ServeHTTP serves one instance until its connection ends.
 func (l *Lender) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.AcceptLoan(w, r)
 	if err != nil {
-		l.Log.Warn().Err(err).Msg("lend: connection refused")
+		l.Log.Warn().Err(err).Msg("lend: handshake with a borrower failed")
 		return
 	}
 	defer c.CloseNow()
-	for l.answer(r.Context(), c, r.RemoteAddr) == nil {
+	for l.lend(r.Context(), c, r.RemoteAddr) == nil {
 	}
 }
 
-// answer lends once; the error ends the connection.
-func (l *Lender) answer(ctx context.Context, c *wire.Conn, asker string) error {
-	ctx, cancel := context.WithTimeout(ctx, idleTime)
+// lend answers one request; an error ends the connection.
+func (l *Lender) lend(ctx context.Context, c *wire.Conn, borrower string) error {
+	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
-	q, err := c.RecvLoan(ctx)
+	request, err := c.RecvLoan(ctx)
 	if err != nil {
 		return err
 	}
-	n := l.Budget.Lend(q.Service, q.Repeats, clock.Now())
-	l.Log.Info().Str("asker", asker).Str("service", q.Service).Int("asked", q.Repeats).Int("lent", n).Msg("lend: repeats lent")
-	return c.SendLoan(ctx, wire.Loan{Service: q.Service, Repeats: n})
+	n := l.Budget.Lend(request.Service, request.Repeats, clock.Now())
+	l.Log.Info().Str("asker", borrower).Str("service", request.Service).Int("asked", request.Repeats).Int("lent", n).Msg("lend: retries lent")
+	return c.SendLoan(ctx, wire.Loan{Service: request.Service, Repeats: n})
 }
 
-// Borrow has repeats of a service borrowed, and returns when that has been tried.
+// Borrow tries to borrow retries of a service and waits for the result. It shares
+// a round that is in progress.
 func (b *Borrower) Borrow(ctx context.Context, service string) {
-	r := b.begin(service)
+	r := b.startRound(service)
 	if r == nil {
 		return
 	}
@@ -100,33 +97,33 @@
 	}
 }
 
-// begin returns the round of questions that is under way, or begins one; nil if
-// the last one brought nothing.
-func (b *Borrower) begin(service string) *round {
+// startRound returns the round in progress or starts one; nil soon after a failed
+// round.
+func (b *Borrower) startRound(service string) *round {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.rounds[service]; r != nil {
 		return r
 	}
-	if clock.Now() < b.restsTo[service] {
+	if clock.Now() < b.notBefore[service] {
 		return nil
 	}
 	if b.rounds == nil {
-		b.rounds, b.restsTo, b.conns = map[string]*round{}, map[string]clock.Time{}, map[string]*wire.Conn{}
+		b.rounds, b.notBefore, b.conns = map[string]*round{}, map[string]clock.Time{}, map[string]*wire.Conn{}
 	}
 	r := &round{done: make(chan struct{})}
 	b.rounds[service] = r
-	go b.ask(service, r)
+	go b.runRound(service, r)
 	return r
 }
 
-// ask asks one instance after the other until one lends.
-func (b *Borrower) ask(service string, r *round) {
-	got := 0
-	for _, p := range b.choose() {
-		n, err := b.borrow(p, service)
-		b.Log.Info().Str("peer", p.Node).Str("peerZone", p.Zone).Str("service", service).Int("lent", n).AnErr("error", err).Msg("lend: repeats borrowed")
-		if got = n; n > 0 {
+// runRound asks one instance after the other until one of them lends.
+func (b *Borrower) runRound(service string, r *round) {
+	lent := 0
+	for _, p := range b.candidates() {
+		n, err := b.borrowFrom(p, service)
+		b.Log.Info().Str("peer", p.Node).Str("peerZone", p.Zone).Str("service", service).Int("lent", n).AnErr("error", err).Msg("lend: retries borrowed")
+		if lent = n; n > 0 {
 			b.Budget.Borrowed(service, n, clock.Now())
 			break
 		}
@@ -134,52 +131,52 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.rounds, service)
-	if got == 0 {
-		b.restsTo[service] = clock.Now().Add(pause)
+	if lent == 0 {
+		b.notBefore[service] = clock.Now().Add(roundInterval)
 	}
 	close(r.done)
 }
 
-// choose are the instances to ask, at random: those of other zones first, since
-// failures come by zones.
-func (b *Borrower) choose() []exchange.Peer {
-	var near, far []exchange.Peer
+// candidates returns the instances to ask in random order, those of other zones
+// first.
+func (b *Borrower) candidates() []exchange.Peer {
+	var sameZone, otherZones []exchange.Peer
 	for _, p := range b.Peers() {
 		if p.Zone == b.Zone {
-			near = append(near, p)
+			sameZone = append(sameZone, p)
 		} else {
-			far = append(far, p)
+			otherZones = append(otherZones, p)
 		}
 	}
-	shuffle(near)
-	shuffle(far)
-	all := append(far, near...)
-	return all[:min(lenders, len(all))]
+	shuffle(sameZone)
+	shuffle(otherZones)
+	all := append(otherZones, sameZone...)
+	return all[:min(maxLenders, len(all))]
 }
 
 func shuffle(ps []exchange.Peer) {
 	rand.Shuffle(len(ps), func(i, j int) { ps[i], ps[j] = ps[j], ps[i] })
 }
 
-// borrow asks one instance. What it lends without being heard is lost.
-func (b *Borrower) borrow(p exchange.Peer, service string) (int, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+// borrowFrom asks one instance. A loan whose reply doesn't arrive in time is lost.
+func (b *Borrower) borrowFrom(p exchange.Peer, service string) (int, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), lenderTimeout)
 	defer cancel()
-	c, err := b.conn(ctx, p.Addr)
+	c, err := b.takeConn(ctx, p.Addr)
 	if err != nil {
 		return 0, err
 	}
-	n, err := c.Borrow(ctx, wire.Loan{Service: service, Repeats: repeats})
+	n, err := c.Borrow(ctx, wire.Loan{Service: service, Repeats: retriesPerLoan})
 	if err != nil {
 		c.CloseNow()
 		return 0, err
 	}
-	b.keep(p.Addr, c)
+	b.putConn(p.Addr, c)
 	return n, nil
 }
 
-// conn is a connection to an address that nobody else uses.
-func (b *Borrower) conn(ctx context.Context, addr string) (*wire.Conn, error) {
+// takeConn returns an idle connection to an address, or a new one.
+func (b *Borrower) takeConn(ctx context.Context, addr string) (*wire.Conn, error) {
 	b.mu.Lock()
 	c := b.conns[addr]
 	delete(b.conns, addr)
@@ -190,7 +187,7 @@
 	return wire.DialLoan(ctx, addr)
 }
 
-func (b *Borrower) keep(addr string, c *wire.Conn) {
+func (b *Borrower) putConn(addr string, c *wire.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if old := b.conns[addr]; old != nil {
