--- a/admit/admit.go
+++ b/admit/admit.go
@@ -37,7 +37,7 @@
 	if interval == 0 {
 		interval = s.Pace.Gap
 	}
-	return s.Pace.Reading(s.Backlog+s.Prompt, interval) + s.generation(s.Pace.Short, interval)
+	return s.Pace.Reading(s.Backlog+s.Prompt, interval) + s.generation(s.Pace.ShortAnswer, interval)
 }
 
 // Likely returns the usual duration of the stream at an engine without backlog;
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -22,7 +22,7 @@
 // testPace describes engines that prefill 8 tokens per ms and take 27 ms per
 // event of 10 tokens, 30 ms beside other streams. Short answers have 990 of
 // 1,800 tokens, usual ones 1,350.
-var testPace = pace.Pace{Gap: 27 * time.Millisecond, Ratio: 1.0 / (8 * 27), Whole: 30 * time.Millisecond, Short: 0.55, Length: 0.75}
+var testPace = pace.Pace{Gap: 27 * time.Millisecond, Ratio: 1.0 / (8 * 27), Whole: 30 * time.Millisecond, ShortAnswer: 0.55, Length: 0.75}
 
 // Guards against rejecting streams without estimates of the engines' speed.
 func TestNoEstimates(t *testing.T) {
--- a/pace/engine.go
+++ b/pace/engine.go
@@ -1,13 +1,11 @@
-// Package pace learns how fast model engines work from the events of the
-// streams that they run: how far apart events are while nothing is read beside
-// them, how long prompts take to be read, and how long answers are. It knows
-// no network and no figure of any engine: until something was seen, nothing is
-// claimed.
+// Package pace estimates the speed of model engines from the events of their
+// streams: the event interval, the time of a prefill and the length of answers. It
+// has no built-in figures: estimates are 0 until there are samples.
 //
-// Reading and generating slow down together when an engine turns slow, so an
-// engine is described by one figure, its gap between events, which every
-// running stream shows some 30 times a second; how long a prompt takes follows
-// from it by a ratio that all engines of a service share.
+// An engine that turns slow is slower in prefill and in generation alike. Each
+// engine is therefore described by its event interval alone, of which every running
+// stream yields samples, and prefill times follow from the interval by a ratio that
+// all engines of a service share.
 package pace
 
 import (
@@ -19,99 +17,98 @@
 )
 
 const (
-	// halfLife is the time in which what was seen of an engine loses half of
-	// its weight against what is usual: engines turn slow and recover within
-	// some seconds.
-	halfLife = 4 * time.Second
-	// usualWeight is the weight of what is usual against one fresh word on
-	// the engine.
-	usualWeight = 0.15
-	// forget is after how long a word counts for nothing (2^-5 of its weight).
-	forget = 5 * halfLife
-	// peakHalfLife is the time in which the longest pause seen loses half: a
-	// prompt read beside takes a second, and the next comes soon.
-	peakHalfLife = 3 * time.Second
-	// maxHeard bounds the instances whose word on an engine is kept.
-	maxHeard = 32
+	// sampleHalfLife is the time in which a sample of an engine loses half of its
+	// weight against the service's usual interval.
+	sampleHalfLife = 4 * time.Second
+	// serviceWeight is the weight of the service's usual interval relative to one
+	// fresh sample or report of the engine.
+	serviceWeight = 0.15
+	// maxSampleAge is the age from which a sample or report is ignored.
+	maxSampleAge = 5 * sampleHalfLife
+	// longestHalfLife is the time in which the longest event interval decays to
+	// half.
+	longestHalfLife = 3 * time.Second
+	// maxReports limits the number of peers whose reports on an engine are kept.
+	maxReports = 32
 )
 
 type (
-	// Engine is what is learnt of one boot of a model engine. The zero value
-	// knows nothing.
+	// Engine holds the estimates of one boot of a model engine. The zero value has
+	// none.
 	Engine struct {
-		mu     sync.Mutex
-		gap    quantile
-		at     clock.Time // of the newest own sample
-		peak   float64    // the longest pause between events of late, ms
-		peakAt clock.Time
-		heard  map[string]word // other instances' words on it
+		mu        sync.Mutex
+		interval  quantile
+		sampledAt clock.Time // time of the newest sample
+		longest   float64    // longest recent event interval, ms; decays
+		longestAt clock.Time
+		reports   map[string]report // by instance
 	}
 
-	word struct {
-		gap float64 // ms
-		at  clock.Time
+	report struct {
+		intervalMs float64
+		at         clock.Time
 	}
 )
 
-// Event takes the time between two events of a run. calm says that no prompt
-// was being read beside it, as far as known.
-func (e *Engine) Event(gap time.Duration, calm bool, now clock.Time) {
+// Event adds the time between two events of an attempt. undisturbed says that no
+// other prefill is known to have run at the engine meanwhile.
+func (e *Engine) Event(interval time.Duration, undisturbed bool, now clock.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.peak, e.peakAt = max(inMs(gap), e.fadedPeak(now)), now
-	if calm {
-		e.gap.add(inMs(gap), 0.5, quick)
-		e.at = now
+	e.longest, e.longestAt = max(inMs(interval), e.decayedLongest(now)), now
+	if undisturbed {
+		e.interval.add(inMs(interval), 0.5, fastStep)
+		e.sampledAt = now
 	}
 }
 
-func (e *Engine) fadedPeak(now clock.Time) float64 {
-	if e.peak == 0 {
+func (e *Engine) decayedLongest(now clock.Time) float64 {
+	if e.longest == 0 {
 		return 0
 	}
-	return e.peak * math.Exp2(-float64(now.Sub(e.peakAt))/float64(peakHalfLife))
+	return e.longest * math.Exp2(-float64(now.Sub(e.longestAt))/float64(longestHalfLife))
 }
 
-// Longest is the longest pause between events of runs there, fading.
+// Longest returns the longest recent event interval, which decays over time.
 func (e *Engine) Longest(now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return fromMs(e.fadedPeak(now))
+	return fromMs(e.decayedLongest(now))
 }
 
-// Own is this instance's own word on the engine: the gap between events; 0 if
-// it has seen none of late.
+// Own returns the event interval that this instance has measured; 0 without recent
+// samples.
 func (e *Engine) Own(now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gap.n == 0 || now.Sub(e.at) > forget {
+	if e.interval.n == 0 || now.Sub(e.sampledAt) > maxSampleAge {
 		return 0
 	}
-	return fromMs(e.gap.value())
+	return fromMs(e.interval.value())
 }
 
-// Heard takes another instance's word on the engine.
-func (e *Engine) Heard(node string, gap time.Duration, now clock.Time) {
-	if gap <= 0 {
+// Heard adds a peer's report of the engine's event interval.
+func (e *Engine) Heard(node string, interval time.Duration, now clock.Time) {
+	if interval <= 0 {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.heard == nil {
-		e.heard = map[string]word{}
+	if e.reports == nil {
+		e.reports = map[string]report{}
 	}
-	for n, w := range e.heard {
-		if now.Sub(w.at) > forget || len(e.heard) >= maxHeard {
-			delete(e.heard, n)
+	for n, w := range e.reports {
+		if now.Sub(w.at) > maxSampleAge || len(e.reports) >= maxReports {
+			delete(e.reports, n)
 		}
 	}
-	e.heard[node] = word{gap: inMs(gap), at: now}
+	e.reports[node] = report{intervalMs: inMs(interval), at: now}
 }
 
-// Gap is how far apart events of a run there are expected to be while nothing
-// is read beside it: what was seen and heard of late, else what is usual. 0 if
-// neither is known.
-func (e *Engine) Gap(usual time.Duration, now clock.Time) time.Duration {
+// Gap returns the expected event interval without other prefills at the engine:
+// the weighted geometric mean of own samples, peers' reports and the service's
+// usual interval. 0 if none is known.
+func (e *Engine) Gap(usualInterval time.Duration, now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sum, weight := 0.0, 0.0
@@ -121,12 +118,12 @@
 			weight += w
 		}
 	}
-	add(inMs(usual), usualWeight)
-	if e.gap.n > 0 {
-		add(e.gap.value(), fresh(now.Sub(e.at)))
+	add(inMs(usualInterval), serviceWeight)
+	if e.interval.n > 0 {
+		add(e.interval.value(), weightAt(now.Sub(e.sampledAt)))
 	}
-	for _, w := range e.heard {
-		add(w.gap, fresh(now.Sub(w.at)))
+	for _, w := range e.reports {
+		add(w.intervalMs, weightAt(now.Sub(w.at)))
 	}
 	if weight == 0 {
 		return 0
@@ -134,12 +131,12 @@
 	return fromMs(math.Exp(sum / weight))
 }
 
-// fresh is the weight of a word of an age.
-func fresh(age time.Duration) float64 {
-	if age > forget {
+// weightAt returns the weight of a sample or report of an age.
+func weightAt(age time.Duration) float64 {
+	if age > maxSampleAge {
 		return 0
 	}
-	return math.Exp2(-float64(age) / float64(halfLife))
+	return math.Exp2(-float64(age) / float64(sampleHalfLife))
 }
 
 func inMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -16,108 +16,105 @@
 	prompt = 5000
 )
 
-// kind is one kind of engine.
-type kind struct {
+// engineKind holds the true figures of a kind of engine.
+type engineKind struct {
 	Name      string
 	GapMs     float64 `yaml:"gapMs"`
 	ReadPerMs float64 `yaml:"readPerMs"`
 	FirstMs   float64 `yaml:"firstMs"`
 }
 
-// first is how long the kind takes to a first event behind so many tokens.
-func (k kind) first(tokens int) time.Duration {
+// timeToFirstEvent returns the time to a first event after a prefill of so many tokens.
+func (k engineKind) timeToFirstEvent(tokens int) time.Duration {
 	return fromMs(float64(tokens)/k.ReadPerMs + k.FirstMs + k.GapMs)
 }
 
-// run feeds events to an engine and its service, every gap, and returns when
-// the last one came.
-func run(e *Engine, s *Service, from clock.Time, gap time.Duration, events int) clock.Time {
+// feedEvents feeds events to an engine and its service and returns the time of the
+// last one.
+func feedEvents(e *Engine, s *Service, from clock.Time, interval time.Duration, events int) clock.Time {
 	for range events {
-		from = from.Add(gap)
-		e.Event(gap, true, from)
-		s.Event(gap)
+		from = from.Add(interval)
+		e.Event(interval, true, from)
+		s.Event(interval)
 	}
 	return from
 }
 
-// What is learnt of a kind of engine from three streams is within a tenth of
-// its own figures, whatever they are.
+// Guards against estimates that depend on the kind of engine.
 func TestLearnsKinds(t *testing.T) {
-	for _, k := range cases.Load[kind](t, "testdata/engines.yaml") {
+	for _, k := range cases.Load[engineKind](t, "testdata/engines.yaml") {
 		t.Run(k.Name, func(t *testing.T) {
 			var e Engine
 			var s Service
-			assert.Zero(t, s.Pace().First(prompt, e.Gap(0, start)), "something is claimed before anything was seen")
+			assert.Zero(t, s.Pace().First(prompt, e.Gap(0, start)), "an estimate without samples")
 			now := start
 			for range 3 {
 				s.Sent(prompt)
-				now = run(&e, &s, now, fromMs(k.GapMs), 40)
-				s.First(k.first(prompt), prompt, e.Own(now))
+				now = feedEvents(&e, &s, now, fromMs(k.GapMs), 40)
+				s.First(k.timeToFirstEvent(prompt), prompt, e.Own(now))
 			}
 			p := s.Pace()
-			gap := e.Gap(p.Gap, now)
-			assert.InEpsilon(t, k.GapMs, inMs(gap), 0.1)
+			interval := e.Gap(p.Gap, now)
+			assert.InEpsilon(t, k.GapMs, inMs(interval), 0.1)
 			assert.InEpsilon(t, prompt, p.Prompt, 0.01)
 			for _, tokens := range []int{prompt, 4 * prompt} {
-				assert.InEpsilon(t, inMs(k.first(tokens)), inMs(p.First(tokens, gap)), 0.1, "%d tokens", tokens)
+				assert.InEpsilon(t, inMs(k.timeToFirstEvent(tokens)), inMs(p.First(tokens, interval)), 0.1, "%d tokens", tokens)
 			}
 		})
 	}
 }
 
-// An engine that turns slow is known as slow after a second of events of one
-// stream, and as usual again some seconds after nothing more is heard of it;
-// the others are not touched.
+// Guards against noticing a slow engine late, against remembering a recovered one
+// as slow, and against effects on other engines.
 func TestEngineTurnsSlow(t *testing.T) {
 	var e, other Engine
 	var s Service
-	gap := 30 * time.Millisecond
-	now := run(&e, &s, start, gap, 100)
-	run(&other, &s, start, gap, 100)
-	now = run(&e, &s, now, 5*gap/2, 14) // a second
-	assert.Greater(t, e.Gap(gap, now), 3*gap/2)
-	now = run(&e, &s, now, 5*gap/2, 14)
-	assert.InEpsilon(t, inMs(5*gap/2), inMs(e.Gap(gap, now)), 0.25)
-	assert.InEpsilon(t, inMs(gap), inMs(other.Gap(gap, now)), 0.01)
-	assert.InEpsilon(t, inMs(gap), inMs(e.Gap(gap, now.Add(2*forget))), 0.01)
+	interval := 30 * time.Millisecond
+	now := feedEvents(&e, &s, start, interval, 100)
+	feedEvents(&other, &s, start, interval, 100)
+	now = feedEvents(&e, &s, now, 5*interval/2, 14) // one second
+	assert.Greater(t, e.Gap(interval, now), 3*interval/2)
+	now = feedEvents(&e, &s, now, 5*interval/2, 14)
+	assert.InEpsilon(t, inMs(5*interval/2), inMs(e.Gap(interval, now)), 0.25)
+	assert.InEpsilon(t, inMs(interval), inMs(other.Gap(interval, now)), 0.01)
+	assert.InEpsilon(t, inMs(interval), inMs(e.Gap(interval, now.Add(2*maxSampleAge))), 0.01)
 }
 
-// Events that were held up by a lost packet and come all at once change little:
-// the way was slow, not the engine.
+// Guards against taking a retransmission, after which events arrive all at once,
+// for a slow engine.
 func TestLostPackets(t *testing.T) {
 	var e Engine
 	var s Service
-	gap := 30 * time.Millisecond
-	now := run(&e, &s, start, gap, 100)
-	for range 10 { // a packet of 30 is lost
-		now = run(&e, &s, now, gap, 22)
-		now = run(&e, &s, now, 230*time.Millisecond, 1)
-		now = run(&e, &s, now, 500*time.Microsecond, 7)
+	interval := 30 * time.Millisecond
+	now := feedEvents(&e, &s, start, interval, 100)
+	for range 10 { // one packet in 30 is lost
+		now = feedEvents(&e, &s, now, interval, 22)
+		now = feedEvents(&e, &s, now, 230*time.Millisecond, 1)
+		now = feedEvents(&e, &s, now, 500*time.Microsecond, 7)
 	}
-	assert.InEpsilon(t, inMs(gap), inMs(e.Gap(gap, now)), 0.3)
-	assert.GreaterOrEqual(t, e.Longest(now), 200*time.Millisecond, "pauses are waited for all the same")
+	assert.InEpsilon(t, inMs(interval), inMs(e.Gap(interval, now)), 0.3)
+	assert.GreaterOrEqual(t, e.Longest(now), 200*time.Millisecond, "the longest interval has to include the pause")
 }
 
-// Other instances' words stand where this one has seen nothing, and count less
-// the older they are.
-func TestOthersWords(t *testing.T) {
+// Guards against ignored, lasting or unbounded reports of peers.
+func TestReports(t *testing.T) {
 	var e Engine
 	usual := 30 * time.Millisecond
 	e.Heard("n2", 75*time.Millisecond, start)
 	e.Heard("n3", 0, start)
-	fresh := e.Gap(usual, start)
-	assert.InEpsilon(t, 66, inMs(fresh), 0.1)
-	later := e.Gap(usual, start.Add(2*halfLife))
-	assert.Less(t, later, fresh)
-	assert.Equal(t, usual, e.Gap(usual, start.Add(2*forget)))
-	for i := range 10 * maxHeard {
+	atOnce := e.Gap(usual, start)
+	assert.InEpsilon(t, 66, inMs(atOnce), 0.1)
+	later := e.Gap(usual, start.Add(2*sampleHalfLife))
+	assert.Less(t, later, atOnce)
+	assert.Equal(t, usual, e.Gap(usual, start.Add(2*maxSampleAge)))
+	for i := range 10 * maxReports {
 		e.Heard(string(rune('a'+i)), usual, start)
 	}
-	assert.LessOrEqual(t, len(e.heard), maxHeard+1)
+	assert.LessOrEqual(t, len(e.reports), maxReports+1)
 }
 
-// When first events are slow everywhere, longer waits become usual, so that
-// runs are not given up for the load; given-up ones count as waited for.
+// Guards against attempts that are abandoned because all engines are loaded.
+// Abandoned attempts count as waits.
 func TestSpreadFollowsLoad(t *testing.T) {
 	var s Service
 	for range 50 {
@@ -134,30 +131,30 @@
 	assert.Less(t, s.Pace().Spread, 2.0)
 }
 
-// Nobody is refused by the lengths of a handful of answers.
-func TestAnswers(t *testing.T) {
+// Guards against an estimate of short answers from a handful of samples.
+func TestAnswerLengths(t *testing.T) {
 	var s Service
 	s.Ended(130, 180, 4*time.Second, 130)
 	p := s.Pace()
-	assert.Zero(t, p.Short)
+	assert.Zero(t, p.ShortAnswer)
 	assert.InEpsilon(t, 130.0/180, p.Length, 0.01)
 	assert.InEpsilon(t, 31, inMs(p.Whole), 0.01)
 	for n := range 200 {
 		s.Ended(int64(100+n%61), 180, 4*time.Second, 130)
 	}
 	p = s.Pace()
-	require.NotZero(t, p.Short)
-	assert.Less(t, p.Short, 0.62)
+	require.NotZero(t, p.ShortAnswer)
+	assert.Less(t, p.ShortAnswer, 0.62)
 	assert.InEpsilon(t, 130.0/180, p.Length, 0.1)
 }
 
-// Figures that make no sense change nothing.
-func TestNonsense(t *testing.T) {
+// Guards against estimates from invalid samples.
+func TestInvalidSamples(t *testing.T) {
 	var s Service
 	var e Engine
 	s.First(time.Second, 0, time.Millisecond)
 	s.First(time.Second, 100, 0)
-	s.First(time.Millisecond, 100, time.Second) // sooner than two gaps
+	s.First(time.Millisecond, 100, time.Second) // less than two event intervals
 	s.Waited(time.Second, 0)
 	s.Ended(10, 0, 0, 1)
 	s.Sent(0)
--- a/pace/quantile.go
+++ b/pace/quantile.go
@@ -3,27 +3,27 @@
 import "math"
 
 const (
-	// quick and steady are by how much one sample moves a settled quantile,
-	// as a share of its value. Half of quick for each sample above a median
-	// brings it to 2.5 times with 18 of them, 1.4 s of events that then come
-	// every 75 ms, and a single one hardly moves it. Steady is for what does
-	// not change within seconds.
-	quick  = 0.1
-	steady = 0.02
-	// firstStep is how much more the first samples move it.
-	firstStep = 0.5
+	// fastStep and slowStep are the shares of its value by which one sample moves a
+	// settled quantile. fastStep follows changes within a second or two of events,
+	// while a single outlier hardly matters; slowStep is for values that don't change
+	// within seconds.
+	fastStep = 0.1
+	slowStep = 0.02
+	// initialStep is added to the step, divided by the number of samples, so that
+	// the first samples move the quantile further.
+	initialStep = 0.5
 )
 
-// quantile follows a quantile of a stream of positive samples by small steps on
-// a logarithmic scale, so that a few odd samples do not matter. The zero value
-// has seen nothing.
+// quantile estimates a quantile of a stream of positive samples by small steps on a
+// logarithmic scale, which limits the effect of outliers. The zero value has no
+// samples.
 type quantile struct {
 	ln float64
 	n  int
 }
 
-// add takes a sample; share is the quantile that is followed, in (0, 1), and
-// step by how much a sample moves it.
+// add adds a sample. share is the estimated quantile, in (0, 1), and step the
+// distance by which a sample moves it.
 func (q *quantile) add(x, share, step float64) {
 	if x <= 0 {
 		return
@@ -34,15 +34,15 @@
 		q.ln = ln
 		return
 	}
-	by := step + firstStep/float64(q.n)
+	width := step + initialStep/float64(q.n)
 	if ln > q.ln {
-		q.ln = min(ln, q.ln+by*share)
+		q.ln = min(ln, q.ln+width*share)
 	} else {
-		q.ln = max(ln, q.ln-by*(1-share))
+		q.ln = max(ln, q.ln-width*(1-share))
 	}
 }
 
-// value is the quantile; 0 if nothing was seen.
+// value returns the quantile; 0 without samples.
 func (q *quantile) value() float64 {
 	if q.n == 0 {
 		return 0
--- a/pace/service.go
+++ b/pace/service.go
@@ -6,127 +6,125 @@
 )
 
 const (
-	// startGaps is what a first event takes besides the reading of prompts,
-	// in gaps between events: that of the first event itself and about one
-	// more until the prompt's reading begins.
-	startGaps = 2
-	// slowShare is the share of first events that come within Spread.
-	slowShare = 0.95
-	// shortShare is the share of answers that are shorter than Short.
-	shortShare = 0.05
-	// minSamples is how many answers have to be known before a stream is
-	// refused because even the shorter ones are too long for it.
+	// firstEventIntervals is the time to a first event besides the prefill, in event
+	// intervals: the event itself and the wait until the prefill starts.
+	firstEventIntervals = 2
+	// spreadQuantile is the share of first events that arrive within Spread.
+	spreadQuantile = 0.95
+	// shortQuantile is the share of answers that are shorter than ShortAnswer.
+	shortQuantile = 0.05
+	// minSamples is the number of answers from which ShortAnswer is known.
 	minSamples = 20
 )
 
 type (
-	// Service is what is learnt of all engines of a service together, and of
-	// its streams. The zero value knows nothing.
+	// Service holds the estimates of a service: of all its engines together and of
+	// its streams. The zero value has none.
 	Service struct {
-		mu     sync.Mutex
-		gap    quantile // ms between events while nothing is read beside
-		ratio  quantile // what reading a token takes, in gaps
-		spread quantile // of first events: time taken over time expected
-		prompt quantile // tokens
-		whole  quantile // ms for an event, over whole runs, reading beside included
-		short  quantile // events of the shorter answers, as a share of the most
-		length quantile // of usual answers
+		mu             sync.Mutex
+		interval       quantile // usual event interval without other prefills, ms
+		tokenIntervals quantile // prefill time of a token, in event intervals
+		spread         quantile // of the actual over the expected time to a first event
+		prompt         quantile // tokens
+		loadedInterval quantile // mean event interval of an attempt, with other prefills, ms
+		shortAnswer    quantile // length of a short answer, as a share of the maximum
+		usualAnswer    quantile // length of a usual answer, as a share of the maximum
 	}
 
-	// Pace is what is known of a service at a moment. Figures are 0 where
-	// nothing is known.
+	// Pace is a snapshot of a service's estimates. Unknown values are 0.
 	Pace struct {
-		Gap    time.Duration // between events, usually, with nothing read beside
-		Ratio  float64       // what reading a token takes, in gaps
-		Spread float64       // by what slow first events exceed what is expected
-		Prompt float64       // tokens of a usual prompt
-		Whole  time.Duration // for an event, over a whole run
-		Short  float64       // events of the shortest answers, as a share of the most
-		Length float64       // of usual answers
+		Gap         time.Duration // usual event interval without other prefills
+		Ratio       float64       // prefill time of a token, in event intervals
+		Spread      float64       // actual over expected time of slow first events
+		Prompt      float64       // usual length of a prompt, in tokens
+		Whole       time.Duration // mean event interval of an attempt, with other prefills
+		ShortAnswer float64       // length of a short answer, as a share of the maximum
+		Length      float64       // length of a usual answer, as a share of the maximum
 	}
 )
 
-// Event takes the time between two events of a run with nothing read beside.
-func (s *Service) Event(gap time.Duration) {
+// Event adds the time between two events of an attempt without other prefills at
+// the engine.
+func (s *Service) Event(interval time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gap.add(inMs(gap), 0.5, steady)
+	s.interval.add(inMs(interval), 0.5, slowStep)
 }
 
-// Gap is the usual time between events with nothing read beside; 0 if it is not
-// known. It is what Pace says, without the rest, for use at every event.
+// Gap returns the usual event interval without other prefills at the engine; 0 if
+// unknown. It equals Pace().Gap and is cheaper.
 func (s *Service) Gap() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return fromMs(s.gap.value())
+	return fromMs(s.interval.value())
 }
 
-// Sent takes the length of a prompt.
+// Sent adds the length of a prompt, in tokens.
 func (s *Service) Sent(prompt int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.prompt.add(float64(prompt), 0.5, steady)
+	s.prompt.add(float64(prompt), 0.5, slowStep)
 }
 
-// First takes how long a first event took at an engine whose gap is known by
-// now, with so many tokens to be read and nothing else waiting there.
-func (s *Service) First(took time.Duration, tokens int, gap time.Duration) {
-	if tokens <= 0 || gap <= 0 {
+// First adds the time to a first event at an engine with the given event interval,
+// after a prefill of so many tokens without other prompts waiting.
+func (s *Service) First(took time.Duration, tokens int, interval time.Duration) {
+	if tokens <= 0 || interval <= 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ratio.add((float64(took)/float64(gap)-startGaps)/float64(tokens), 0.5, steady)
+	s.tokenIntervals.add((float64(took)/float64(interval)-firstEventIntervals)/float64(tokens), 0.5, slowStep)
 }
 
-// Waited takes how long a first event took, or was waited for in vain, and how
-// long it had been expected to take.
+// Waited adds the time until a first event arrived or the attempt was abandoned,
+// and the expected time.
 func (s *Service) Waited(took, expected time.Duration) {
 	if expected <= 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spread.add(float64(took)/float64(expected), slowShare, quick)
+	s.spread.add(float64(took)/float64(expected), spreadQuantile, fastStep)
 }
 
-// Ended takes a whole answer: its events, the most that it could have had, and
-// how long its run took from the first event to the last.
-func (s *Service) Ended(events, most int64, run time.Duration, runEvents int) {
+// Ended adds a complete answer: its number of events, the maximum number, and the
+// last attempt's duration from its first event to its last and number of events.
+func (s *Service) Ended(events, maxEvents int64, duration time.Duration, attemptEvents int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if most > 0 {
-		s.short.add(float64(events)/float64(most), shortShare, steady)
-		s.length.add(float64(events)/float64(most), 0.5, steady)
+	if maxEvents > 0 {
+		s.shortAnswer.add(float64(events)/float64(maxEvents), shortQuantile, slowStep)
+		s.usualAnswer.add(float64(events)/float64(maxEvents), 0.5, slowStep)
 	}
-	if runEvents > 1 {
-		s.whole.add(inMs(run)/float64(runEvents-1), 0.5, steady)
+	if attemptEvents > 1 {
+		s.loadedInterval.add(inMs(duration)/float64(attemptEvents-1), 0.5, slowStep)
 	}
 }
 
-// Pace is what is known now.
+// Pace returns the current estimates.
 func (s *Service) Pace() Pace {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := Pace{Gap: fromMs(s.gap.value()), Ratio: s.ratio.value(), Spread: s.spread.value(), Prompt: s.prompt.value(), Whole: fromMs(s.whole.value())}
-	p.Length = s.length.value()
-	if s.short.n >= minSamples {
-		p.Short = s.short.value()
+	p := Pace{Gap: fromMs(s.interval.value()), Ratio: s.tokenIntervals.value(), Spread: s.spread.value(), Prompt: s.prompt.value(), Whole: fromMs(s.loadedInterval.value())}
+	p.Length = s.usualAnswer.value()
+	if s.shortAnswer.n >= minSamples {
+		p.ShortAnswer = s.shortAnswer.value()
 	}
 	return p
 }
 
-// Reading is how long so many tokens take to be read at an engine with a gap;
-// 0 if that is not known.
-func (p Pace) Reading(tokens int, gap time.Duration) time.Duration {
-	return time.Duration(float64(tokens) * p.Ratio * float64(gap))
+// Reading returns the time of a prefill of so many tokens at an engine with the
+// given event interval; 0 if unknown.
+func (p Pace) Reading(tokens int, interval time.Duration) time.Duration {
+	return time.Duration(float64(tokens) * p.Ratio * float64(interval))
 }
 
-// First is how long a first event is expected to take at an engine with a gap
-// that has so many tokens to read before; 0 if that is not known.
-func (p Pace) First(tokens int, gap time.Duration) time.Duration {
+// First returns the expected time to the first event at an engine with the given
+// event interval and so many prompt tokens to prefill; 0 if unknown.
+func (p Pace) First(tokens int, interval time.Duration) time.Duration {
 	if p.Ratio == 0 {
 		return 0
 	}
-	return startGaps*gap + p.Reading(tokens, gap)
+	return firstEventIntervals*interval + p.Reading(tokens, interval)
 }
--- a/pace/services.go
+++ b/pace/services.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// Services is what is learnt of each service. The zero value knows nothing.
+// Services holds the estimates of each service. The zero value has none.
 type Services struct {
 	mu     sync.Mutex
 	byName map[string]*Service
 }
 
-// Of is what is learnt of a service.
+// Of returns the estimates of a service.
 func (s *Services) Of(name string) *Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
