--- a/health/health.go
+++ b/health/health.go
@@ -1,6 +1,6 @@
-// Package health holds what an instance believes of a target from what it
-// sees of it while working with it: refused or silent connections, broken
-// answers, failed calls and response times. It sends no probes of its own.
+// Package health tracks the health of targets by what an instance observes of its
+// own calls: refused or silent connections, failed calls and response times. Links
+// tracks packet loss on the way to each zone. The package sends no probes itself.
 package health
 
 import (
@@ -12,109 +12,106 @@
 )
 
 const (
-	// firstOut is how long a target is left alone after it failed once, and
-	// maxOut the most after repeated failures. The next call after that is
-	// its trial: a refused connection costs a few ms and is retried
-	// elsewhere.
-	firstOut = 800 * time.Millisecond
-	maxOut   = 4 * time.Second
-
-	// lately is how long a failure speaks against the other targets of the
-	// zone: they fail together, and the entries of crashed ones stand for
-	// three heartbeats, some 4 s.
-	lately = 4 * time.Second
-
-	// heardFor is how long a sign of life speaks for a target, and against a
-	// failure of its whole zone: longer than an engine stops its streams' events
-	// to read a prompt or two, and far shorter than lately.
-	heardFor = 1500 * time.Millisecond
-
-	// errorHalfLife is the time in which old failures lose half of their
-	// weight; a target that fails part of its calls comes back to trial in
-	// a few seconds.
+	// minEjection is the ejection after a target's first failure; each further one
+	// doubles it up to maxEjection. The next call after an ejection tests the target:
+	// a refused connection costs a few ms and is retried elsewhere.
+	minEjection = 800 * time.Millisecond
+	maxEjection = 4 * time.Second
+
+	// recentFailure is how long a failure counts as recent. Recent failures are evidence
+	// of a zone outage; registrations of crashed targets expire about as late.
+	recentFailure = 4 * time.Second
+
+	// recentContact is how long an answer or event is evidence that the target serves.
+	// It exceeds the time for which a prefill or two stall an engine's streams.
+	recentContact = 1500 * time.Millisecond
+
+	// errorHalfLife is the time in which the failure rate decays to half, so that a
+	// target that got no calls because of failures gets some again within seconds.
 	errorHalfLife = 3 * time.Second
-	// errorWeight is the weight of one new answer in the failure rate.
-	errorWeight = 0.1
-	// latencyWeight is the weight of one new answer in the response time.
+	// errorRateWeight is the weight of one answer in the failure rate.
+	errorRateWeight = 0.1
+	// latencyWeight is the weight of one answer in the response time.
 	latencyWeight = 0.2
 )
 
 // Causes of failure.
 const (
-	CauseRefused Cause = "refused" // no connection
-	CauseSilent  Cause = "silent"  // nothing came for too long
+	CauseRefused Cause = "refused" // the connection was refused
+	CauseSilent  Cause = "silent"  // no data arrived in time
 )
 
 type (
-	// Cause says how a target failed.
+	// Cause is the way in which a target failed.
 	Cause string
 
-	// State is the belief about one target. The zero value believes in it.
+	// State is the health of one target. The zero value is healthy.
 	State struct {
-		mu       sync.Mutex
-		outUntil clock.Time
-		fails    int
-		failedAt clock.Time
-		heardAt  clock.Time // when it last served
-		probing  bool
-		gone     chan struct{} // closed when the target fails; nil until asked for
-
-		errors  float64 // share of failed calls, decaying
-		errorAt clock.Time
-		latency float64 // ms, moving average; 0: not known
+		mu           sync.Mutex
+		ejectedUntil clock.Time
+		failures     int
+		failedAt     clock.Time
+		servedAt     clock.Time // time of the last data or successful answer
+		probing      bool
+		lost         chan struct{} // closed when the target fails; nil until Lost is called
+
+		errorRate   float64 // share of failed calls; decays
+		errorRateAt clock.Time
+		latency     float64 // ms, moving average; 0: unknown
 	}
 )
 
-// Usable reports whether the target may get work now.
+// Usable reports whether the target is not ejected.
 func (s *State) Usable(now clock.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now >= s.outUntil
+	return now >= s.ejectedUntil
 }
 
-// Failed notes that the target does not serve: it is left alone for a while,
-// longer each time, and all who wait on Lost are woken.
+// Failed ejects a target that doesn't serve, longer after each further failure,
+// and closes the channel that Lost returned. It returns the remaining time of the
+// ejection.
 func (s *State) Failed(now clock.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone != nil {
-		close(s.gone)
-		s.gone = nil
+	if s.lost != nil {
+		close(s.lost)
+		s.lost = nil
 	}
-	if now < s.outUntil {
-		return s.outUntil.Sub(now)
+	if now < s.ejectedUntil {
+		return s.ejectedUntil.Sub(now)
 	}
-	out := min(firstOut<<min(s.fails, 8), maxOut)
-	s.fails++
+	ejection := min(minEjection<<min(s.failures, 8), maxEjection)
+	s.failures++
 	s.failedAt = now
-	s.outUntil = now.Add(out)
-	return out
+	s.ejectedUntil = now.Add(ejection)
+	return ejection
 }
 
-// FailedLately says when the target failed, if it has of late and has not
-// answered since.
+// FailedLately returns the time of the last failure; ok is false if it isn't
+// recent or the target has answered since.
 func (s *State) FailedLately(now clock.Time) (at clock.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failedAt, s.fails > 0 && now.Sub(s.failedAt) < lately
+	return s.failedAt, s.failures > 0 && now.Sub(s.failedAt) < recentFailure
 }
 
-// Heard notes that something has come from the target.
+// Heard records that data arrived from the target.
 func (s *State) Heard(now clock.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heardAt = now
+	s.servedAt = now
 }
 
-// HeardLately reports whether the target has served of late, and not failed since.
+// HeardLately reports whether the target has served recently and not failed since.
 func (s *State) HeardLately(now clock.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heardAt > s.failedAt && now.Sub(s.heardAt) < heardFor
+	return s.servedAt > s.failedAt && now.Sub(s.servedAt) < recentContact
 }
 
-// BeginProbe reports whether the target may be probed now: nobody else does.
-// EndProbe is to be called after it.
+// BeginProbe starts a probe of the target and reports whether none was in
+// progress. EndProbe must be called after the probe.
 func (s *State) BeginProbe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,25 +133,25 @@
 func (s *State) Lost() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone == nil {
-		s.gone = make(chan struct{})
+	if s.lost == nil {
+		s.lost = make(chan struct{})
 	}
-	return s.gone
+	return s.lost
 }
 
-// Answered notes an answer and the time it took; failed says that the target
+// Answered records an answer and its response time; failed says that the target
 // answered that it could not serve the call.
 func (s *State) Answered(now clock.Time, took time.Duration, failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fails = 0
-	s.decay(now)
+	s.failures = 0
+	s.decayErrorRate(now)
 	if failed {
-		s.errors += errorWeight * (1 - s.errors)
+		s.errorRate += errorRateWeight * (1 - s.errorRate)
 		return
 	}
-	s.heardAt = now
-	s.errors -= errorWeight * s.errors
+	s.servedAt = now
+	s.errorRate -= errorRateWeight * s.errorRate
 	ms := float64(took) / float64(time.Millisecond)
 	if s.latency == 0 {
 		s.latency = ms
@@ -163,24 +160,24 @@
 	}
 }
 
-// Errors is the share of calls that failed of late.
+// Errors returns the share of recent calls that failed.
 func (s *State) Errors(now clock.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.decay(now)
-	return s.errors
+	s.decayErrorRate(now)
+	return s.errorRate
 }
 
-// Latency is the usual response time in milliseconds; 0 if not known.
+// Latency returns the usual response time in milliseconds; 0 if unknown.
 func (s *State) Latency() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latency
 }
 
-func (s *State) decay(now clock.Time) {
-	if s.errorAt != 0 {
-		s.errors *= math.Exp2(-float64(now.Sub(s.errorAt)) / float64(errorHalfLife))
+func (s *State) decayErrorRate(now clock.Time) {
+	if s.errorRateAt != 0 {
+		s.errorRate *= math.Exp2(-float64(now.Sub(s.errorRateAt)) / float64(errorHalfLife))
 	}
-	s.errorAt = now
+	s.errorRateAt = now
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -14,23 +14,23 @@
 	return clock.Time(100*time.Second) + clock.Time(s*float64(time.Second))
 }
 
-type beliefCase struct {
+type stateCase struct {
 	Name  string
 	Steps []struct {
-		At     float64
-		Failed bool
-		OK     int // answers
-		Bad    int // answers that were failures
-		Want   *struct {
+		At       float64
+		Failed   bool
+		OK       int // successful answers
+		Failures int // answers that the call could not be served
+		Want     *struct {
 			Usable bool
-			Lately bool
+			Recent bool
 			Errors [2]float64
 		}
 	}
 }
 
-func TestBelief(t *testing.T) {
-	for _, tt := range cases.Load[beliefCase](t, "testdata/belief.yaml") {
+func TestState(t *testing.T) {
+	for _, tt := range cases.Load[stateCase](t, "testdata/state.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
 			var s State
 			for i, step := range tt.Steps {
@@ -41,13 +41,13 @@
 				for range step.OK {
 					s.Answered(now, 30*time.Millisecond, false)
 				}
-				for range step.Bad {
+				for range step.Failures {
 					s.Answered(now, 30*time.Millisecond, true)
 				}
 				if w := step.Want; w != nil {
 					assert.Equal(t, w.Usable, s.Usable(now), "step %d", i)
-					_, lately := s.FailedLately(now)
-					assert.Equal(t, w.Lately, lately, "step %d", i)
+					_, recent := s.FailedLately(now)
+					assert.Equal(t, w.Recent, recent, "step %d", i)
 					assert.GreaterOrEqual(t, s.Errors(now), w.Errors[0], "step %d", i)
 					assert.LessOrEqual(t, s.Errors(now), w.Errors[1], "step %d", i)
 				}
@@ -56,8 +56,7 @@
 	}
 }
 
-// All who wait on a target are woken by its failure, also while it is left
-// alone already.
+// Guards against a waiter that isn't notified when an ejected target fails again.
 func TestLostWakesEveryTime(t *testing.T) {
 	var s State
 	for i := range 3 {
@@ -66,7 +65,7 @@
 		select {
 		case <-lost:
 		default:
-			t.Fatalf("failure %d woke nobody", i)
+			t.Fatalf("failure %d: Lost was not closed", i)
 		}
 	}
 }
--- a/health/links.go
+++ b/health/links.go
@@ -9,67 +9,65 @@
 )
 
 const (
-	// stallHalfLife is the time in which a stall on the way to a zone loses
-	// half of its weight. Links lose packets for some seconds; a link that
-	// loses one in forty stalls each stream every 1.5 s.
+	// stallHalfLife is the time in which the weight of a stall decays to half. Lossy
+	// links recover within seconds.
 	stallHalfLife = 2 * time.Second
-	// certainStalls is the weight of stalls at which a way is sure to lose
-	// packets.
-	certainStalls = 1.5
+	// certainWeight is the weight of stalls from which packet loss is certain.
+	certainWeight = 1.5
 )
 
 type (
-	// Links is the belief about the ways from this instance to the zones.
-	// The zero value believes in all of them.
+	// Links tracks packet loss on the links from this instance to the zones. The zero
+	// value knows of none.
 	Links struct {
-		mu   sync.Mutex
-		ways map[string]*way
+		mu    sync.Mutex
+		zones map[string]*link
 	}
 
-	way struct {
-		stalls float64 // decaying
+	link struct {
+		stalls float64 // weight of the stalls; decays
 		at     clock.Time
 	}
 )
 
-// Stalled notes that events from a zone came late and all at once, as after a
-// packet that was lost and sent again. It reports whether the way counts as
-// losing packets from now on, and did not before.
+// Stalled records that events from a zone were delayed and then arrived all at
+// once, as after a retransmission. It reports whether the link starts to count as
+// lossy by this stall.
 func (l *Links) Stalled(zone string, now clock.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ways == nil {
-		l.ways = map[string]*way{}
+	if l.zones == nil {
+		l.zones = map[string]*link{}
 	}
-	w := l.ways[zone]
-	if w == nil {
-		w = &way{at: now}
-		l.ways[zone] = w
+	zoneLink := l.zones[zone]
+	if zoneLink == nil {
+		zoneLink = &link{at: now}
+		l.zones[zone] = zoneLink
 	}
-	before := w.weight(now)
-	w.stalls, w.at = before+1, now
-	return loss(before) < 0.5 && loss(w.stalls) >= 0.5
+	before := zoneLink.weight(now)
+	zoneLink.stalls, zoneLink.at = before+1, now
+	return confidence(before) < 0.5 && confidence(zoneLink.stalls) >= 0.5
 }
 
-// Stalls is the weight of the stalls on the way to a zone.
+// Stalls returns the weight of the recent stalls on the link to a zone.
 func (l *Links) Stalls(zone string, now clock.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w := l.ways[zone]; w != nil {
-		return w.weight(now)
+	if zoneLink := l.zones[zone]; zoneLink != nil {
+		return zoneLink.weight(now)
 	}
 	return 0
 }
 
-// Loss is how sure it is, from 0 to 1, that the way to a zone loses packets.
+// Loss returns the confidence, from 0 to 1, that the link to a zone loses packets.
 func (l *Links) Loss(zone string, now clock.Time) float64 {
-	return loss(l.Stalls(zone, now))
+	return confidence(l.Stalls(zone, now))
 }
 
-// loss is how sure a weight of stalls makes it that packets are lost.
-func loss(stalls float64) float64 { return min(1, stalls/certainStalls) }
+// confidence returns the confidence in packet loss for a weight of stalls.
+func confidence(stalls float64) float64 { return min(1, stalls/certainWeight) }
 
-// weight is the weight of the stalls so far.
-func (w *way) weight(now clock.Time) float64 {
-	return w.stalls * math.Exp2(-float64(now.Sub(w.at))/float64(stallHalfLife))
+// weight returns the weight of the stalls at a time.
+func (l *link) weight(now clock.Time) float64 {
+	return l.stalls * math.Exp2(-float64(now.Sub(l.at))/float64(stallHalfLife))
 }
--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -27,7 +27,7 @@
     "no end in time": ("FINAL", "ingress/handler.go", "	ctx, cancel := context.WithTimeout(ctx, limit)", "	ctx, cancel := context.WithTimeout(ctx, limit+time.Minute)"),
     "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashKeeper{Store: i.store}.Make(mctx, edits[:n])", "	err := mctx.Err()"),
     "a bystander is condemned": ("BYSTANDER", "poison/book.go", "		guilty := !b.Dry && own >= enough && b.wellOf(s.suspect, now) <= ranWellShare*len(s.deaths)", "		guilty := own > 0"),
-    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.gone != nil {\n		close(s.gone)\n		s.gone = nil\n	}\n", "	panic(s)\n"),
+    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.lost != nil {\n		close(s.lost)\n		s.lost = nil\n	}\n", "	panic(s)\n"),
 }
 
 
