--- a/recall/recall.go
+++ b/recall/recall.go
@@ -1,7 +1,7 @@
-// Package recall remembers at which engine a prompt was read last. A stream
-// whose connection broke comes back within moments, to any entry; the engine
-// that had it still holds what it read, and going on there takes some 50 ms
-// in place of the second that reading it again takes.
+// Package recall records cache locations: which engine holds the KV cache of a
+// prompt. A stream whose connection was interrupted may be resumed through any
+// entry instance. At the engine with its cached prefix it resumes without a second
+// prefill.
 package recall
 
 import (
@@ -13,40 +13,39 @@
 )
 
 const (
-	// keep is how long a prompt is expected to stay in an engine's memory
-	// at a usual load; callers on dark connections come back after 18 s.
-	keep = 30 * time.Second
-	// maxPlaces bounds what is remembered: 500 streams a second for keep, some
-	// 100 bytes each. That is two availability zones of the size expected in two
-	// years; instances hear of those of their own.
-	maxPlaces = 16384
-	// maxNews bounds what is kept to be told to other instances: what one of
-	// them begins within seconds.
-	maxNews = 256
+	// maxAge is how long a prompt is expected to stay in an engine's cache under usual
+	// load. Some callers reconnect only after 18 s.
+	maxAge = 30 * time.Second
+	// maxLocations limits the recorded locations, of some 100 bytes each, to those of
+	// about 500 streams a second.
+	maxLocations = 16384
+	// maxUpdates limits the locations that are kept for reports to peers.
+	maxUpdates = 256
 )
 
 type (
-	// Place says where a prompt was read.
+	// Place is the cache location of a prompt.
 	Place struct {
-		Subject string            // the last part of the prompt
-		Engine  ragworthitch.Boot // a later boot of it has read nothing
+		Subject string            // identifies the prompt: its last part
+		Engine  ragworthitch.Boot // a later boot of the engine has an empty cache
 	}
 
-	// Recall is what one instance remembers. The zero value is ready to use.
+	// Recall holds the cache locations that one instance knows. The zero value is
+	// ready to use.
 	Recall struct {
-		mu    sync.Mutex
-		place map[string]memory
-		news  []Place // own notes, the newest last
-		total uint64  // own notes ever made
+		mu        sync.Mutex
+		locations map[string]location
+		updates   []Place // observed by this instance, the newest last
+		recorded  uint64  // number of locations that this instance has observed
 	}
 
-	memory struct {
-		engine ragworthitch.Boot
-		at     clock.Time
+	location struct {
+		engine     ragworthitch.Boot
+		recordedAt clock.Time
 	}
 )
 
-// Note remembers a place of this instance's own, to be told to others.
+// Note records a location that this instance observed, to be reported to peers.
 func (r *Recall) Note(p Place, now clock.Time) {
 	if p.Subject == "" {
 		return
@@ -54,14 +53,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.put(p, now)
-	r.total++
-	r.news = append(r.news, p)
-	if len(r.news) > 2*maxNews {
-		r.news = append([]Place(nil), r.news[len(r.news)-maxNews:]...)
+	r.recorded++
+	r.updates = append(r.updates, p)
+	if len(r.updates) > 2*maxUpdates {
+		r.updates = append([]Place(nil), r.updates[len(r.updates)-maxUpdates:]...)
 	}
 }
 
-// Heard remembers a place that another instance told.
+// Heard records a location that a peer reported.
 func (r *Recall) Heard(p Place, now clock.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,37 +68,37 @@
 }
 
 func (r *Recall) put(p Place, now clock.Time) {
-	if r.place == nil {
-		r.place = map[string]memory{}
+	if r.locations == nil {
+		r.locations = map[string]location{}
 	}
-	r.place[p.Subject] = memory{engine: p.Engine, at: now}
-	if len(r.place) <= maxPlaces {
+	r.locations[p.Subject] = location{engine: p.Engine, recordedAt: now}
+	if len(r.locations) <= maxLocations {
 		return
 	}
-	for s, m := range r.place {
-		if now.Sub(m.at) > keep || len(r.place) > maxPlaces {
-			delete(r.place, s) // old ones, or any: a lost place costs one reading
+	for s, known := range r.locations {
+		if now.Sub(known.recordedAt) > maxAge || len(r.locations) > maxLocations {
+			delete(r.locations, s) // expired ones, then any: losing a location costs one prefill
 		}
 	}
 }
 
-// Where returns the engine at which a prompt was read last, if it is
-// remembered.
+// Where returns the engine that was last known to cache a prompt, and whether one
+// is known.
 func (r *Recall) Where(subject string, now clock.Time) (ragworthitch.Boot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m, ok := r.place[subject]
-	if !ok || now.Sub(m.at) > keep {
+	known, ok := r.locations[subject]
+	if !ok || now.Sub(known.recordedAt) > maxAge {
 		return ragworthitch.Boot{}, false
 	}
-	return m.engine, true
+	return known.engine, true
 }
 
-// Since returns the own notes after the first n, as far as they are still
-// kept, and how many there have been.
+// Since returns the locations that this instance observed after its first n, as
+// far as they are kept, and their total number.
 func (r *Recall) Since(n uint64) ([]Place, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fresh := int(min(r.total-min(n, r.total), uint64(len(r.news)), maxNews))
-	return append([]Place(nil), r.news[len(r.news)-fresh:]...), r.total
+	count := int(min(r.recorded-min(n, r.recorded), uint64(len(r.updates)), maxUpdates))
+	return append([]Place(nil), r.updates[len(r.updates)-count:]...), r.recorded
 }
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -26,30 +26,30 @@
 	r.Note(Place{"a", engine("e1")}, start)
 	r.Heard(Place{"b", engine("e2")}, start)
 	r.Note(Place{"", engine("e3")}, start)
-	assert.Equal(t, "e1", where("a", start.Add(keep)))
+	assert.Equal(t, "e1", where("a", start.Add(maxAge)))
 	assert.Equal(t, "e2", where("b", start))
-	assert.Equal(t, "", where("a", start.Add(keep+1)))
+	assert.Equal(t, "", where("a", start.Add(maxAge+1)))
 	r.Note(Place{"a", engine("e4")}, start)
 	assert.Equal(t, "e4", where("a", start))
 
-	news, n := r.Since(0)
-	assert.Equal(t, []Place{{"a", engine("e1")}, {"a", engine("e4")}}, news, "only own notes are told")
-	news, _ = r.Since(n)
-	assert.Empty(t, news)
-	news, _ = r.Since(n + 7) // of another life of this instance
-	assert.Empty(t, news)
+	updates, n := r.Since(0)
+	assert.Equal(t, []Place{{"a", engine("e1")}, {"a", engine("e4")}}, updates, "only own locations are reported")
+	updates, _ = r.Since(n)
+	assert.Empty(t, updates)
+	updates, _ = r.Since(n + 7) // n of an earlier process of this instance
+	assert.Empty(t, updates)
 }
 
-// Memory is bounded, and the newest is remembered.
+// Guards against unbounded memory and against dropping the newest location.
 func TestBounded(t *testing.T) {
 	var r Recall
-	for i := range 10 * maxPlaces {
+	for i := range 10 * maxLocations {
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		r.Note(Place{fmt.Sprint(i), engine("e1")}, now)
-		assert.LessOrEqual(t, len(r.place), maxPlaces)
+		assert.LessOrEqual(t, len(r.locations), maxLocations)
 	}
 	news, n := r.Since(0)
-	assert.Len(t, news, maxNews)
-	assert.EqualValues(t, 10*maxPlaces, n)
-	assert.Equal(t, fmt.Sprint(10*maxPlaces-1), news[maxNews-1].Subject)
+	assert.Len(t, news, maxUpdates)
+	assert.EqualValues(t, 10*maxLocations, n)
+	assert.Equal(t, fmt.Sprint(10*maxLocations-1), news[maxUpdates-1].Subject)
 }
--- a/recall/spans.go
+++ b/recall/spans.go
@@ -8,60 +8,59 @@
 )
 
 const (
-	// span is how much time the places of one saved row come from: a save
-	// writes what is new of them, not all that is remembered.
-	span = 2 * time.Second
-	// Slots is how many rows hold the places of the last keep; they are written
-	// in turn, one more than keep needs, since the newest is under way.
-	Slots = int(keep/span) + 1
-	// maxSpan bounds the places of a span: a row of the store takes 64 kB, and
-	// a place 100 bytes at most.
-	maxSpan = 600
+	// spanLength is the time range of the locations in one stored row. A save writes
+	// the rows that changed instead of all locations.
+	spanLength = 2 * time.Second
+	// Slots is the number of rows, which are overwritten in turn. They cover maxAge
+	// and the range that is still being filled.
+	Slots = int(maxAge/spanLength) + 1
+	// maxSpanLocations limits a row to the store's 64 kB, at 100 bytes a location.
+	maxSpanLocations = 600
 )
 
 type (
-	// Spans are the places that an instance keeps for those that start anew, by
-	// the time from which they come. The zero value is ready to use.
+	// Spans groups cache locations into rows by time, for saving to the store.
+	// Restarted instances load them. The zero value is ready to use.
 	Spans struct {
-		mu    sync.Mutex
-		newer []*Span // unsaved ones, the newest last
+		mu     sync.Mutex
+		recent []*Span // the newest last
 	}
 
-	// Span are the places of one span of time.
+	// Span holds the locations of one time range.
 	Span struct {
-		Slot   int // which row holds it
+		Slot   int // number of its row
 		Places []Place
 		number int64
-		saved  int // how many of Places have been
+		saved  int // number of saved Places
 	}
 )
 
-// Add takes places that have just been noted.
+// Add adds newly recorded locations.
 func (s *Spans) Add(places []Place, now clock.Time) {
 	if len(places) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := int64(now) / int64(span)
-	if len(s.newer) == 0 || s.newer[len(s.newer)-1].number != n {
-		s.newer = append(s.newer, &Span{number: n, Slot: int(n % int64(Slots))})
-		s.newer = s.newer[max(0, len(s.newer)-Slots):] // older ones count no more
+	number := int64(now) / int64(spanLength)
+	if len(s.recent) == 0 || s.recent[len(s.recent)-1].number != number {
+		s.recent = append(s.recent, &Span{number: number, Slot: int(number % int64(Slots))})
+		s.recent = s.recent[max(0, len(s.recent)-Slots):] // older ones have expired
 	}
-	last := s.newer[len(s.newer)-1]
+	last := s.recent[len(s.recent)-1]
 	last.Places = append(last.Places, places...)
-	if over := len(last.Places) - maxSpan; over > 0 {
-		last.Places = last.Places[over:]
-		last.saved = max(0, last.saved-over)
+	if excess := len(last.Places) - maxSpanLocations; excess > 0 {
+		last.Places = last.Places[excess:]
+		last.saved = max(0, last.saved-excess)
 	}
 }
 
-// Unsaved are the spans with places that have not been saved, as they are now.
+// Unsaved returns copies of the spans with unsaved locations.
 func (s *Spans) Unsaved() []Span {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Span
-	for _, p := range s.newer {
+	for _, p := range s.recent {
 		if p.saved < len(p.Places) {
 			c := *p
 			c.Places = append([]Place(nil), p.Places...)
@@ -71,12 +70,12 @@
 	return out
 }
 
-// Saved notes that spans have been saved as Unsaved gave them.
+// Saved records that spans, as returned by Unsaved, have been saved.
 func (s *Spans) Saved(spans []Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, done := range spans {
-		for _, p := range s.newer {
+		for _, p := range s.recent {
 			if p.number == done.number {
 				p.saved = max(p.saved, len(done.Places))
 			}
