--- a/registry/boots.go
+++ b/registry/boots.go
@@ -9,78 +9,77 @@
 )
 
 const (
-	// staleFor is how long an entry that was found to be out of date speaks
-	// against the others of its zone: as long as a target's failure does.
-	staleFor = 4 * time.Second
-
-	// maxEnded bounds what is remembered of boots that have ended: ten times
-	// the 740 targets expected in two years. Beyond it any are forgotten; an old
-	// entry that comes later still costs one refused connection.
-	maxEnded = 8192
-
-	// lateWrites is the span over which the writes of an ended boot may reach
-	// the store late, one after the other, while no later boot of its target
-	// writes. One that lives is known after four heartbeats, 3.6 s.
-	lateWrites = 3 * time.Second
+	// staleRegistrationAge is how long a stale registration counts as evidence against
+	// others of its service and zone; it equals the age of a recent failure.
+	staleRegistrationAge = 4 * time.Second
+
+	// maxEndedBoots limits the targets whose ended boots are recorded. After an
+	// eviction, a late registration of an ended boot costs one refused connection.
+	maxEndedBoots = 8192
+
+	// maxWriteDelay is the time for which delayed writes of an ended boot may arrive
+	// at the store one after the other.
+	maxWriteDelay = 3 * time.Second
 )
 
 type (
-	// place is a service in an availability zone.
-	place struct{ service, zone string }
-
-	// ending is what is known of the ended boots of an id: those that started
-	// before started, and with barred that one too.
-	ending struct {
-		started int64
-		barred  bool
+	// serviceZone is a service in an availability zone.
+	serviceZone struct{ service, zone string }
+
+	// endedBoots records which boots of a target id have ended: all that started
+	// before started, and with inclusive also the one that started at that time.
+	endedBoots struct {
+		started   int64
+		inclusive bool
 	}
 
-	// doubt is what was heard of a boot that has ended, by what is known.
-	doubt struct {
-		boot     ragworthitch.Boot
-		sequence int64 // of the first entry
-		since    clock.Time
+	// suspicion records the first registration that arrived from a boot which is
+	// recorded as ended.
+	suspicion struct {
+		boot          ragworthitch.Boot
+		firstSequence int64 // of that registration
+		since         clock.Time
 	}
 )
 
-// lives reports whether an entry shows that its boot lives, though it should
-// have ended: it goes on writing for longer than writes may come late, and no
-// other boot under its id does. A target's clock may have been set back between
-// two starts, so that the later one tells the earlier time; r.mu is held.
-func (r *Registry) lives(t ragworthitch.Target) bool {
+// provesAlive reports whether a registration proves that its boot is alive although
+// it is recorded as ended: the boot writes for longer than delayed writes may arrive
+// and no other boot of its id does. This happens if the target's clock was set back
+// between two starts. r.mu is held.
+func (r *Registry) provesAlive(t ragworthitch.Target) bool {
 	now := clock.Now()
-	d, ok := r.doubts[t.ID()]
-	if ok && d.boot == t.Boot() {
-		return t.Sequence() > d.sequence && now.Sub(d.since) > lateWrites
+	known, ok := r.suspicions[t.ID()]
+	if ok && known.boot == t.Boot() {
+		return t.Sequence() > known.firstSequence && now.Sub(known.since) > maxWriteDelay
 	}
-	if len(r.doubts) >= maxEnded {
-		clear(r.doubts)
+	if len(r.suspicions) >= maxEndedBoots {
+		clear(r.suspicions)
 	}
-	r.doubts[t.ID()] = doubt{boot: t.Boot(), sequence: t.Sequence(), since: now}
+	r.suspicions[t.ID()] = suspicion{boot: t.Boot(), firstSequence: t.Sequence(), since: now}
 	return false
 }
 
-// has reports whether a boot that started then has ended.
-func (e ending) has(started int64) bool {
-	return started < e.started || e.barred && started == e.started
+// includes reports whether the boot that started at a time has ended.
+func (e endedBoots) includes(started int64) bool {
+	return started < e.started || e.inclusive && started == e.started
 }
 
-// noteStart remembers that earlier boots of an id have ended; r.mu is held.
-func (r *Registry) noteStart(b ragworthitch.Boot) {
+// endEarlierBoots records that all earlier boots of b's id have ended; r.mu is held.
+func (r *Registry) endEarlierBoots(b ragworthitch.Boot) {
 	if e := r.ended[b.ID()]; b.Started() > e.started {
-		r.remember(b.ID(), ending{started: b.Started()})
+		r.setEnded(b.ID(), endedBoots{started: b.Started()})
 	}
 }
 
-// bar notes that a boot has ended; r.mu is held.
-func (r *Registry) bar(b ragworthitch.Boot) {
-	if !r.ended[b.ID()].has(b.Started()) {
-		r.remember(b.ID(), ending{started: b.Started(), barred: true})
+// endBoot records that a boot has ended; r.mu is held.
+func (r *Registry) endBoot(b ragworthitch.Boot) {
+	if !r.ended[b.ID()].includes(b.Started()) {
+		r.setEnded(b.ID(), endedBoots{started: b.Started(), inclusive: true})
 	}
 }
 
-func (r *Registry) remember(id string, e ending) {
-	if len(r.ended) >= maxEnded {
+func (r *Registry) setEnded(id string, e endedBoots) {
+	if len(r.ended) >= maxEndedBoots {
 		for old := range r.ended {
 			if r.byID[old] == nil {
 				delete(r.ended, old)
@@ -91,44 +90,43 @@
 	r.ended[id] = e
 }
 
-// Refused notes that the address of a target answered for another one: this
-// boot of it has ended, whatever its entry says.
+// Refused records that the address of a target answered for another target: the
+// boot has ended, although its registration still exists.
 func (r *Registry) Refused(b ragworthitch.Boot, now clock.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.init()
-	r.bar(b)
+	r.makeMaps()
+	r.endBoot(b)
 	m := r.byID[b.ID()]
 	if m == nil || m.Target().Boot() != b {
 		return
 	}
 	r.retire(m, 0)
-	p := place{m.Target().Service(), m.Target().Zone()}
-	r.stale[p] = append(recent(r.stale[p], now), now)
+	key := serviceZone{m.Target().Service(), m.Target().Zone()}
+	r.staleRegistrations[key] = append(dropOld(r.staleRegistrations[key], now), now)
 }
 
-// recent are the times that are not older than staleFor.
-func recent(times []clock.Time, now clock.Time) []clock.Time {
-	return slices.DeleteFunc(times, func(at clock.Time) bool { return now.Sub(at) > staleFor })
+// dropOld removes the times that are older than staleRegistrationAge.
+func dropOld(times []clock.Time, now clock.Time) []clock.Time {
+	return slices.DeleteFunc(times, func(at clock.Time) bool { return now.Sub(at) > staleRegistrationAge })
 }
 
-// Stale is how many entries of a service's targets in a zone were found to be
-// out of date of late. Targets of a zone are replaced together, so the others
-// there are likely to be as well, where the store cannot be asked.
+// Stale returns the number of recently found stale registrations of a service in a
+// zone. Targets of a zone are replaced together, so its other registrations are
+// probably stale as well while the store is unavailable.
 func (r *Registry) Stale(service, zone string, now clock.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(recent(slices.Clone(r.stale[place{service, zone}]), now))
+	return len(dropOld(slices.Clone(r.staleRegistrations[serviceZone{service, zone}]), now))
 }
 
-// retire forgets a target whose boot has ended; orders under way there are
-// told. next is the start of the boot that came after it under its id and at its
-// address, or 0.
-// r.mu is held.
-func (r *Registry) retire(m *Member, next int64) {
-	r.forget(m)
+// retire drops a target whose boot has ended and cancels Life for its attempts.
+// successorStarted is the start of the next boot under the same id and address, or
+// 0. r.mu is held.
+func (r *Registry) retire(m *Member, successorStarted int64) {
+	r.drop(m)
 	m.mu.Lock()
-	m.next = next
+	m.successorStarted = successorStarted
 	m.mu.Unlock()
 	m.end(ErrEnded)
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,6 +1,5 @@
-// Package registry keeps the targets that this instance knows, by service,
-// with what it believes of each: connections, health and the work it has
-// there.
+// Package registry holds the targets that this instance knows, by service, with
+// their connections, health, speed and load.
 package registry
 
 import (
@@ -18,49 +17,46 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// connShare is the part of a target's connections that one instance may
-// hold: the limit is for all callers of the target together, and most of
-// them are idle at any time.
-const connShare = 0.5
+// maxConnShare is the share of a target's connections that one instance may hold.
+// The target's limit applies to all its callers together.
+const maxConnShare = 0.5
 
 // Outcomes of Put.
 const (
-	// Ignored: the entry is of a boot that has ended, or an earlier one of a
-	// boot that is leaving, or does not tell the start that the target has told
-	// before.
+	// Ignored: the registration is of an ended boot, precedes the one in which the
+	// boot started to drain, or lacks the start time that earlier ones had.
 	Ignored Outcome = "ignored"
-	// Known: the target was known, and its entry has been taken over.
+	// Known: the boot was known, and its registration has been updated.
 	Known Outcome = "known"
-	// Added: the target was not known.
+	// Added: the target was unknown.
 	Added Outcome = "added"
-	// Restarted: the id was known by an earlier boot, which has ended.
+	// Restarted: the id was known with an earlier boot, which has ended.
 	Restarted Outcome = "restarted"
 )
 
-// ErrEnded is why the context of an order ends whose target's boot has ended.
+// ErrEnded is the cause with which Member.Life ends.
 var ErrEnded = errors.New("registry: this boot of the target has ended")
 
 type (
-	// Outcome says what Put did.
+	// Outcome is the result of Put.
 	Outcome string
 
-	// Registry is the set of known targets. The zero value is empty and
-	// ready to use.
+	// Registry is the set of known targets. The zero value is empty and ready to use.
 	Registry struct {
-		mu       sync.RWMutex
-		byID     map[string]*Member
-		byAddr   map[string]*Member // the newest at each address
-		services map[string][]*Member
-		ended    map[string]ending      // by id, what is known of boots that have ended
-		doubts   map[string]doubt       // by id: what was heard of a boot that should have ended
-		stale    map[place][]clock.Time // when targets' entries were found to be out of date
-
-		busyMu sync.Mutex
-		busy   map[*Member]bool // targets with own work
-		edits  atomic.Uint64    // changes of own work at any target
+		mu                 sync.RWMutex
+		byID               map[string]*Member
+		byAddr             map[string]*Member // the newest at each address
+		services           map[string][]*Member
+		ended              map[string]endedBoots        // by id
+		suspicions         map[string]suspicion         // by id
+		staleRegistrations map[serviceZone][]clock.Time // times at which they were found
+
+		busyMu      sync.Mutex
+		busy        map[*Member]bool // targets with load from this instance
+		workChanges atomic.Uint64    // number of changes of own load at all targets
 	}
 
-	// Member is one known target.
+	// Member is one boot of a known target.
 	Member struct {
 		conns  *upstream.Pool
 		health health.State
@@ -72,140 +68,139 @@
 		life context.Context // ends when the boot is known to have ended
 		end  context.CancelCauseFunc
 
-		mu         sync.Mutex
-		target     ragworthitch.Target
-		coldUntil  clock.Time // the target is slow after its start until then
-		goneAt     clock.Time // when the target counts as gone; 0: its entry stands
-		unreadable bool       // its entry cannot be read now
-		next       int64      // start of the boot that came after it at its address; 0: not known
+		mu               sync.Mutex
+		target           ragworthitch.Target
+		coldUntil        clock.Time // end of the slow phase after the target's start
+		expiresAt        clock.Time // end of the grace period after the registration vanished; 0: registered
+		unreadable       bool       // the registration can't be decoded
+		successorStarted int64      // start of the next boot at the address; 0: unknown
 	}
 )
 
-// Target is the target's last known entry.
+// Target returns the target's last registration.
 func (m *Member) Target() ragworthitch.Target {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.target
 }
 
-// Conns are the connections to the target.
+// Conns returns the connections to the target.
 func (m *Member) Conns() *upstream.Pool { return m.conns }
 
-// Health is the belief about the target.
+// Health returns the target's health.
 func (m *Member) Health() *health.State { return &m.health }
 
-// Pace is what was learnt of the target's speed, if it is a model engine.
+// Pace returns the speed estimates of the target if it is a model engine.
 func (m *Member) Pace() *pace.Engine { return &m.pace }
 
-// Work is what this instance has at the target.
+// Work returns the load at the target.
 func (m *Member) Work() *Work { return &m.work }
 
-// Life ends, with the cause ErrEnded, when this boot of the target is known to
-// have ended: orders that it had are lost.
+// Life returns a context that ends, with the cause ErrEnded, when this boot of the
+// target is known to have ended: its attempts are lost.
 func (m *Member) Life() context.Context { return m.life }
 
-// Lost reports whether an order that was sent at a time, by the time of day, is
-// lost with the target's boot. One that was sent after the next boot under the
-// same id and at the same address had started went to that one, though its entry
-// was not known yet.
-func (m *Member) Lost(sent time.Time) bool {
+// Lost reports whether an attempt that was sent at a time of day is lost with the
+// target's boot. If the next boot under the same id and address had started by
+// then, it received the attempt although it wasn't registered yet.
+func (m *Member) Lost(sentAt time.Time) bool {
 	if m.life.Err() == nil {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.next == 0 || sent.UnixMilli() < m.next
+	return m.successorStarted == 0 || sentAt.UnixMilli() < m.successorStarted
 }
 
-// AddedAt is when this boot of the target came to be known.
+// AddedAt returns when this boot of the target became known.
 func (m *Member) AddedAt() clock.Time { return m.addedAt }
 
-// Takes reports whether the target may get new work now.
+// Takes reports whether the target may get new calls.
 func (m *Member) Takes(now clock.Time) bool {
 	m.mu.Lock()
-	ok := !m.unreadable && !m.target.Draining() && (m.goneAt == 0 || now < m.goneAt)
+	ok := !m.unreadable && !m.target.Draining() && (m.expiresAt == 0 || now < m.expiresAt)
 	m.mu.Unlock()
 	return ok && m.health.Usable(now)
 }
 
-// Put adds a target or takes over its newer entry. maxConns is how many
-// connections the target takes from all callers; 0 if not known.
+// Put adds a target or updates its registration. maxConns is the number of
+// connections that the target accepts from all callers; 0 if unknown.
 //
-// A later start under a known id, or another address, is a new boot: nothing
-// held or believed of the one before counts for it. An entry that does not
-// tell the start which its target has told before is another writer's. A
-// target whose address a new one has taken is gone: a crashed target's entry
-// stands for some seconds after its successor's has come.
+// A later start time or another address under a known id means a new boot, with
+// no load, health or connections of the earlier one. A registration without the
+// start time that the target had before comes from another writer. A target
+// whose address a new target registers has ended: the registration of a crashed
+// target expires seconds after its successor's has arrived.
 func (r *Registry) Put(t ragworthitch.Target, maxConns int) Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.init()
+	r.makeMaps()
 	started := t.Boot().Started()
 	m := r.byID[t.ID()]
 	if m != nil && started == 0 && m.Target().Boot().Started() != 0 {
 		m.setUnreadable()
 		return Ignored
 	}
-	if r.ended[t.ID()].has(started) {
-		if !r.lives(t) {
+	if r.ended[t.ID()].includes(started) {
+		if !r.provesAlive(t) {
 			return Ignored
 		}
 		delete(r.ended, t.ID())
 	}
-	delete(r.doubts, t.ID())
+	delete(r.suspicions, t.ID())
 	if m != nil && t.Boot() == m.Target().Boot() && t.Address() == m.Target().Address() {
-		return r.renew(m, t, maxConns)
+		return r.update(m, t, maxConns)
 	}
 	if old := r.byAddr[t.Address()]; old != nil && old != m {
 		if started == 0 && old.Target().Boot().Started() != 0 {
-			return Ignored // another writer's: targets there tell their start
+			return Ignored // another writer: the target at the address has a start time
 		}
-		r.bar(old.Target().Boot())
-		r.forget(old)
+		r.endBoot(old.Target().Boot())
+		r.drop(old)
 	}
 	outcome := Added
 	if m != nil {
-		next := started
+		successorStarted := started
 		if m.Target().Address() != t.Address() {
-			next = 0 // orders sent to the old address cannot have reached it
+			successorStarted = 0 // attempts at the old address can't have reached the next boot
 		}
-		r.retire(m, next)
+		r.retire(m, successorStarted)
 		outcome = Restarted
 	}
 	r.add(t, maxConns)
 	return outcome
 }
 
-// late reports whether an entry is one that its target wrote before the known
-// one, in which it says that it is leaving: a write may reach the store seconds
-// late, and a boot that leaves does not come back.
-func late(t, known ragworthitch.Target) bool {
+// precedesDraining reports whether a registration was written before the known one,
+// in which the target drains. Writes may reach the store seconds late, and a
+// draining boot doesn't return.
+func precedesDraining(t, known ragworthitch.Target) bool {
 	return known.Draining() && !t.Draining() && t.Sequence() <= known.Sequence()
 }
 
-func (r *Registry) init() {
+func (r *Registry) makeMaps() {
 	if r.byID == nil {
 		r.byID, r.byAddr = map[string]*Member{}, map[string]*Member{}
-		r.services, r.ended = map[string][]*Member{}, map[string]ending{}
-		r.stale, r.doubts = map[place][]clock.Time{}, map[string]doubt{}
+		r.services, r.ended = map[string][]*Member{}, map[string]endedBoots{}
+		r.staleRegistrations, r.suspicions = map[serviceZone][]clock.Time{}, map[string]suspicion{}
 	}
 }
 
-// own is this instance's part of a target's connections.
-func own(maxConns int) int { return int(connShare * float64(maxConns)) }
+// maxOwnConns returns this instance's share of a target's connections.
+func maxOwnConns(maxConns int) int { return int(maxConnShare * float64(maxConns)) }
 
-// add makes a target's member; r.mu is held.
+// add adds a target's member; r.mu is held.
 func (r *Registry) add(t ragworthitch.Target, maxConns int) {
-	m := &Member{addedAt: clock.Now(), conns: upstream.NewPool(t.Address(), own(maxConns)), target: t, coldUntil: clock.Now().Add(t.ColdFor())}
+	m := &Member{addedAt: clock.Now(), conns: upstream.NewPool(t.Address(), maxOwnConns(maxConns)), target: t, coldUntil: clock.Now().Add(t.ColdFor())}
 	m.life, m.end = context.WithCancelCause(context.Background())
-	m.work.note = func(busy bool) { r.noteWork(m, busy) }
+	m.work.onChange = func(busy bool) { r.setBusy(m, busy) }
 	r.byID[t.ID()], r.byAddr[t.Address()] = m, m
-	r.noteStart(t.Boot())
-	r.list(m)
+	r.endEarlierBoots(t.Boot())
+	r.addToServices(m)
 }
 
-// list puts m into the lists of its services; r.mu is held.
-func (r *Registry) list(m *Member) {
+// addToServices adds m to the lists of its services; r.mu is held.
+func (r *Registry) addToServices(m *Member) {
 	for _, s := range m.Target().Services() {
 		if !slices.Contains(r.services[s], m) {
 			r.services[s] = append(slices.Clone(r.services[s]), m)
@@ -213,47 +208,48 @@
 	}
 }
 
-// unlist takes m out of them; r.mu is held.
-func (r *Registry) unlist(m *Member) {
+// removeFromServices removes m from the lists of its services; r.mu is held.
+func (r *Registry) removeFromServices(m *Member) {
 	for _, s := range m.Target().Services() {
 		r.services[s] = slices.DeleteFunc(slices.Clone(r.services[s]), func(o *Member) bool { return o == m })
 	}
 }
 
-// renew takes over a newer entry of a boot that is known; r.mu is held.
-func (r *Registry) renew(m *Member, t ragworthitch.Target, maxConns int) Outcome {
-	old := m.Target()
-	if late(t, old) {
+// update applies a newer registration of a known boot; r.mu is held.
+func (r *Registry) update(m *Member, t ragworthitch.Target, maxConns int) Outcome {
+	known := m.Target()
+	if precedesDraining(t, known) {
 		return Ignored
 	}
-	if slices.Equal(t.Services(), old.Services()) {
-		m.renew(t)
+	if slices.Equal(t.Services(), known.Services()) {
+		m.update(t)
 	} else {
-		r.unlist(m)
-		m.renew(t)
-		r.list(m)
+		r.removeFromServices(m)
+		m.update(t)
+		r.addToServices(m)
 	}
-	m.conns.Limit(own(maxConns))
+	m.conns.Limit(maxOwnConns(maxConns))
 	return Known
 }
 
-// renew takes over a newer entry of the same boot.
-func (m *Member) renew(t ragworthitch.Target) {
+// update applies a newer registration of the same boot.
+func (m *Member) update(t ragworthitch.Target) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.goneAt, m.unreadable, m.target = 0, false, t
+	m.expiresAt, m.unreadable, m.target = 0, false, t
 	m.coldUntil = clock.Now().Add(t.ColdFor())
 }
 
-// Cold reports whether the target is still slow after its start, as its entry
-// said.
+// Cold reports whether the target is still slow after its start, by its
+// registration.
 func (m *Member) Cold(now clock.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return now < m.coldUntil
 }
 
-// setUnreadable reports whether the entry could be read before.
+// setUnreadable marks the registration as unreadable and reports whether it was
+// readable before.
 func (m *Member) setUnreadable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -262,17 +258,16 @@
 	return !before
 }
 
-// Unreadable notes that a target's entry cannot be read: until a good one
-// comes, the target takes no new work, if it was known at all. It reports
-// whether that is news.
+// Unreadable records that a target's registration can't be decoded: a known target
+// gets no new calls until a valid one arrives. It reports whether the state changed.
 func (r *Registry) Unreadable(id string) bool {
 	m := r.ByID(id)
 	return m != nil && m.setUnreadable()
 }
 
-// Vanish notes that a target's entry is gone; until is how long it may still
-// get work, for entries that lapsed while the store was away. A zero until
-// removes it at once.
+// Vanish records that a target's registration is gone. The target may still get
+// calls until a time, as registrations also lapse while the store is unavailable. A
+// zero until removes it at once.
 func (r *Registry) Vanish(id string, now, until clock.Time) {
 	r.mu.RLock()
 	m := r.byID[id]
@@ -281,47 +276,47 @@
 		return
 	}
 	if until <= now {
-		r.remove(m)
+		r.removeUnregistered(m)
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.goneAt == 0 {
-		m.goneAt = until
+	if m.expiresAt == 0 {
+		m.expiresAt = until
 	}
 }
 
-// Expire removes the targets whose time has come.
+// Expire removes the targets whose registrations are gone and whose time has passed.
 func (r *Registry) Expire(now clock.Time) {
 	r.mu.RLock()
 	var out []*Member
 	for _, m := range r.byID {
 		m.mu.Lock()
-		if m.goneAt != 0 && now >= m.goneAt {
+		if m.expiresAt != 0 && now >= m.expiresAt {
 			out = append(out, m)
 		}
 		m.mu.Unlock()
 	}
 	r.mu.RUnlock()
 	for _, m := range out {
-		r.remove(m)
+		r.removeUnregistered(m)
 	}
 }
 
-// remove takes a target out whose entry is gone. A boot that was leaving has
-// ended: a write of it that comes late does not bring it back. Where targets do
-// not tell their start, the next boot may look the same, and is not barred.
-func (r *Registry) remove(m *Member) {
+// removeUnregistered removes a target whose registration is gone. If the boot was
+// draining it is recorded as ended, so that a delayed write doesn't add it again.
+// Without start times the next boot can't be told from it, so it isn't recorded.
+func (r *Registry) removeUnregistered(m *Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := m.Target(); t.Draining() && t.Boot().Started() != 0 {
-		r.bar(t.Boot())
+		r.endBoot(t.Boot())
 	}
-	r.forget(m)
+	r.drop(m)
 }
 
-// forget takes m out of the registry; r.mu is held.
-func (r *Registry) forget(m *Member) {
+// drop removes m from the registry; r.mu is held.
+func (r *Registry) drop(m *Member) {
 	t := m.Target()
 	if r.byID[t.ID()] != m {
 		return
@@ -330,7 +325,7 @@
 	if r.byAddr[t.Address()] == m {
 		delete(r.byAddr, t.Address())
 	}
-	r.unlist(m)
+	r.removeFromServices(m)
 	m.conns.Close()
 }
 
@@ -341,8 +336,8 @@
 	return r.byAddr[addr]
 }
 
-// noteWork notes a change of own work at m.
-func (r *Registry) noteWork(m *Member, busy bool) {
+// setBusy records a change of this instance's load at m.
+func (r *Registry) setBusy(m *Member, busy bool) {
 	r.busyMu.Lock()
 	defer r.busyMu.Unlock()
 	if r.busy == nil {
@@ -353,10 +348,10 @@
 	} else {
 		delete(r.busy, m)
 	}
-	r.edits.Add(1)
+	r.workChanges.Add(1)
 }
 
-// Busy are the targets with work of this instance.
+// Busy returns the targets with load from this instance.
 func (r *Registry) Busy() []*Member {
 	r.busyMu.Lock()
 	defer r.busyMu.Unlock()
@@ -367,11 +362,10 @@
 	return out
 }
 
-// Edits counts the changes of this instance's own work at all targets: while
-// it stands still, so does the work.
-func (r *Registry) Edits() uint64 { return r.edits.Load() }
+// Edits returns the number of changes of this instance's own load at all targets.
+func (r *Registry) Edits() uint64 { return r.workChanges.Load() }
 
-// IDs are the ids of all known targets.
+// IDs returns the ids of all known targets.
 func (r *Registry) IDs() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -382,7 +376,7 @@
 	return out
 }
 
-// Service returns the targets of a service. The caller must not change it.
+// Service returns the targets of a service. The caller must not modify the slice.
 func (r *Registry) Service(name string) []*Member {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -396,8 +390,7 @@
 	return r.byID[id]
 }
 
-// Boot returns a boot of a target, or nil if it is not the one that is known
-// now.
+// Boot returns a boot of a target, or nil if it isn't the known one.
 func (r *Registry) Boot(b ragworthitch.Boot) *Member {
 	if m := r.ByID(b.ID()); m != nil && m.Target().Boot() == b {
 		return m
@@ -416,7 +409,7 @@
 	return out
 }
 
-// Forget drops what an instance has said of its work.
+// Forget drops the load that an instance has reported.
 func (r *Registry) Forget(node string) {
 	for _, m := range r.All() {
 		m.work.SetOther(node, Load{})
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -15,19 +15,19 @@
 
 const now = clock.Time(time.Minute)
 
-func target(id, addr string, draining bool) ragworthitch.Target {
+func newTarget(id, addr string, draining bool) ragworthitch.Target {
 	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: id, Service: "llm", Address: addr, Draining: draining})
 }
 
-// A crashed target's entry stands for some seconds beside its successor's at
-// the same address: the old one counts no more, and its late entries neither.
+// Guards against calls to a crashed target whose registration exists beside its
+// successor's at the same address, or arrives late.
 func TestSuccessorAtAnAddress(t *testing.T) {
 	var r Registry
-	r.Put(target("old", "10.0.0.1:80", false), 0)
-	r.Put(target("new", "10.0.0.1:80", false), 0)
+	r.Put(newTarget("old", "10.0.0.1:80", false), 0)
+	r.Put(newTarget("new", "10.0.0.1:80", false), 0)
 	assert.Nil(t, r.ByID("old"))
 	assert.Equal(t, "new", r.At("10.0.0.1:80").Target().ID())
-	r.Put(target("old", "10.0.0.1:80", false), 0)
+	r.Put(newTarget("old", "10.0.0.1:80", false), 0)
 	assert.Nil(t, r.ByID("old"))
 	assert.Len(t, r.Service("llm"), 1)
 	r.Refused(ragworthitch.NewBoot("new", 0), now)
@@ -35,12 +35,12 @@
 	assert.Empty(t, r.Service("llm"))
 }
 
-// An entry that vanished while the store was away stands for a while, and for
-// good if it comes back.
+// Guards against dropping all targets while the store is unavailable, and against
+// keeping targets whose registrations don't return.
 func TestVanish(t *testing.T) {
 	var r Registry
-	r.Put(target("a", "10.0.0.1:80", false), 0)
-	r.Put(target("b", "10.0.0.2:80", false), 0)
+	r.Put(newTarget("a", "10.0.0.1:80", false), 0)
+	r.Put(newTarget("b", "10.0.0.2:80", false), 0)
 	r.Vanish("a", now, now)
 	assert.Nil(t, r.ByID("a"))
 	r.Vanish("b", now, now.Add(2*time.Second))
@@ -48,16 +48,16 @@
 	require.NotNil(t, b)
 	assert.True(t, b.Takes(now.Add(time.Second)))
 	assert.False(t, b.Takes(now.Add(2*time.Second)))
-	r.Put(target("b", "10.0.0.2:80", false), 0)
+	r.Put(newTarget("b", "10.0.0.2:80", false), 0)
 	r.Expire(now.Add(time.Hour))
 	assert.True(t, b.Takes(now.Add(time.Hour)))
-	r.Put(target("b", "10.0.0.2:80", true), 0)
-	assert.False(t, b.Takes(now), "it drains")
+	r.Put(newTarget("b", "10.0.0.2:80", true), 0)
+	assert.False(t, b.Takes(now), "the target drains")
 }
 
 func TestWork(t *testing.T) {
 	var r Registry
-	r.Put(target("a", "10.0.0.1:80", false), 0)
+	r.Put(newTarget("a", "10.0.0.1:80", false), 0)
 	w := r.ByID("a").Work()
 	started, end := w.Begin(8000, 9000)
 	drop := w.KeepCopy(5000)
@@ -67,7 +67,7 @@
 	assert.Len(t, r.Busy(), 1)
 	edits := r.Edits()
 	started()
-	started() // counts once
+	started() // no effect
 	assert.Equal(t, Load{Running: 1, Tokens: 14000}, w.Own())
 	assert.Greater(t, r.Edits(), edits)
 	end()
@@ -78,12 +78,11 @@
 	assert.Equal(t, Load{}, w.All())
 }
 
-// An engine that serves several models is one target with one load, found by
-// each of them.
+// Guards against an engine that is several targets because it serves several models.
 func TestSeveralServices(t *testing.T) {
 	var r Registry
 	r.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: "planner", Others: []string{"summary"}, Address: "10.0.0.1:80"}), 0)
-	r.Put(target("b", "10.0.0.2:80", false), 0)
+	r.Put(newTarget("b", "10.0.0.2:80", false), 0)
 	require.Len(t, r.Service("planner"), 1)
 	require.Len(t, r.Service("summary"), 1)
 	assert.Same(t, r.Service("planner")[0], r.Service("summary")[0])
@@ -93,129 +92,127 @@
 	assert.Len(t, r.Service("llm"), 1)
 }
 
-func boot(id, addr string, started int64) ragworthitch.Target {
+func newBoot(id, addr string, started int64) ragworthitch.Target {
 	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: id, Started: started, Service: "llm", Address: addr})
 }
 
-// A target that starts again under its id is a new boot: nothing held or
-// believed of the one before counts for it, and orders there are told.
+// Guards against taking load, health or connections of an earlier boot for those of
+// the next one under the same id, and against waiting for attempts at the earlier.
 func TestRestartUnderOneID(t *testing.T) {
 	var r Registry
-	assert.Equal(t, Added, r.Put(boot("a", "10.0.0.1:80", 100), 10))
+	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 100), 10))
 	old := r.ByID("a")
 	old.Health().Failed(now)
 	old.Work().Begin(8000, 9000)
 	old.Work().SetOther("n2", Load{Running: 2})
-	assert.Equal(t, Restarted, r.Put(boot("a", "10.0.0.1:80", 200), 10))
+	assert.Equal(t, Restarted, r.Put(newBoot("a", "10.0.0.1:80", 200), 10))
 	m := r.ByID("a")
 	require.NotSame(t, old, m)
 	assert.NotSame(t, old.Conns(), m.Conns())
-	assert.True(t, m.Takes(now), "it takes work, though the boot before had failed")
+	assert.True(t, m.Takes(now), "the failure of the earlier boot must not count")
 	assert.Equal(t, Load{}, m.Work().All())
 	assert.ErrorIs(t, context.Cause(old.Life()), ErrEnded)
 	assert.True(t, old.Lost(time.UnixMilli(199)))
-	assert.False(t, old.Lost(time.UnixMilli(201)), "it was sent to the new boot, before its entry was known")
+	assert.False(t, old.Lost(time.UnixMilli(201)), "sent to the new boot before its registration arrived")
 	assert.Len(t, r.Service("llm"), 1)
 	assert.Nil(t, r.Boot(old.Target().Boot()))
 
-	assert.Equal(t, Ignored, r.Put(boot("a", "10.0.0.1:80", 100), 10), "an entry of the boot before that comes late")
+	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 10), "a late registration of the earlier boot")
 	assert.Same(t, m, r.ByID("a"))
 	r.Vanish("a", now, now)
-	assert.Equal(t, Ignored, r.Put(boot("a", "10.0.0.1:80", 100), 10), "an ended boot is revived")
-	assert.Equal(t, Added, r.Put(boot("a", "10.0.0.1:80", 200), 10), "an entry that had lapsed comes back")
+	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 10), "a registration of an ended boot")
+	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 200), 10), "an expired registration returns")
 }
 
-// A boot whose address answered for another target has ended; the next one
-// under the same id is not barred by that.
+// Guards against rejecting the next boot under the id of an ended one.
 func TestRefusedBarsOneBoot(t *testing.T) {
 	var r Registry
-	r.Put(boot("a", "10.0.0.1:80", 100), 0)
+	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
 	r.Refused(ragworthitch.NewBoot("a", 100), now)
-	assert.Equal(t, Ignored, r.Put(boot("a", "10.0.0.1:80", 100), 0))
-	assert.Equal(t, Added, r.Put(boot("a", "10.0.0.1:80", 200), 0))
-	r.Refused(ragworthitch.NewBoot("a", 100), now) // a late word on the boot before
+	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 0))
+	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 200), 0))
+	r.Refused(ragworthitch.NewBoot("a", 100), now) // about the earlier boot, late
 	assert.NotNil(t, r.ByID("a"))
 }
 
-// The same start at another address has connections of its own.
+// Guards against connections to an address that the target has left.
 func TestAddressChanges(t *testing.T) {
 	var r Registry
-	r.Put(boot("a", "10.0.0.1:80", 100), 0)
+	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
 	old := r.ByID("a")
-	r.Put(boot("a", "10.0.0.2:80", 100), 0)
-	assert.True(t, old.Lost(time.UnixMilli(200)), "an order to the old address cannot run at the new one")
+	r.Put(newBoot("a", "10.0.0.2:80", 100), 0)
+	assert.True(t, old.Lost(time.UnixMilli(200)), "an attempt at the old address can't run at the new one")
 	assert.Equal(t, "10.0.0.2:80", r.ByID("a").Conns().Addr())
 	assert.Nil(t, r.At("10.0.0.1:80"))
 }
 
-// A target whose entry cannot be read takes no new work until a good one
-// comes; one without the start that the target told before cannot either.
+// Guards against new calls to a target whose registration can't be decoded or comes
+// from another writer.
 func TestUnreadableEntry(t *testing.T) {
 	var r Registry
-	r.Put(boot("a", "10.0.0.1:80", 100), 0)
-	r.Put(boot("b", "10.0.0.2:80", 100), 0)
+	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
+	r.Put(newBoot("b", "10.0.0.2:80", 100), 0)
 	m := r.ByID("a")
 	assert.True(t, r.Unreadable("a"))
-	assert.False(t, r.Unreadable("a"), "no news")
+	assert.False(t, r.Unreadable("a"), "no change")
 	assert.False(t, r.Unreadable("nobody"))
 	assert.False(t, m.Takes(now))
 	assert.True(t, r.ByID("b").Takes(now))
-	assert.NoError(t, m.Life().Err(), "what runs there goes on")
-	assert.Equal(t, Known, r.Put(boot("a", "10.0.0.1:80", 100), 0))
+	assert.NoError(t, m.Life().Err(), "running calls continue")
+	assert.Equal(t, Known, r.Put(newBoot("a", "10.0.0.1:80", 100), 0))
 	assert.True(t, m.Takes(now))
-	assert.Equal(t, Ignored, r.Put(boot("a", "10.0.0.1:80", 0), 0))
+	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 0), 0))
 	assert.False(t, m.Takes(now))
-	assert.Equal(t, Ignored, r.Put(boot("c", "10.0.0.2:80", 0), 0), "another writer takes a target's address")
+	assert.Equal(t, Ignored, r.Put(newBoot("c", "10.0.0.2:80", 0), 0), "another writer registers a target's address")
 	assert.True(t, r.ByID("b").Takes(now))
 }
 
-// What is remembered of ended boots is bounded, and live targets' is kept.
+// Guards against unbounded memory for ended boots, and against evicting those of
+// known targets.
 func TestEndedBounded(t *testing.T) {
 	var r Registry
-	r.Put(boot("live", "10.0.0.1:80", 100), 0)
-	for i := range 2 * maxEnded {
+	r.Put(newBoot("live", "10.0.0.1:80", 100), 0)
+	for i := range 2 * maxEndedBoots {
 		r.Refused(ragworthitch.NewBoot(fmt.Sprint(i), 1), now)
 	}
-	assert.LessOrEqual(t, len(r.ended), maxEnded)
-	assert.Equal(t, Ignored, r.Put(boot("live", "10.0.0.1:80", 99), 0))
+	assert.LessOrEqual(t, len(r.ended), maxEndedBoots)
+	assert.Equal(t, Ignored, r.Put(newBoot("live", "10.0.0.1:80", 99), 0))
 }
 
-// An engine that begins to serve another model is the same boot: what runs there
-// goes on, and it is found by its services of now.
+// Guards against taking a changed list of services for a new boot.
 func TestServicesChange(t *testing.T) {
 	var r Registry
-	entry := func(services ...string) ragworthitch.Target {
+	registration := func(services ...string) ragworthitch.Target {
 		return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: services[0], Others: services[1:], Address: "10.0.0.1:80"})
 	}
-	r.Put(entry("planner"), 0)
+	r.Put(registration("planner"), 0)
 	m := r.ByID("a")
-	assert.Equal(t, Known, r.Put(entry("summary", "planner"), 0))
+	assert.Equal(t, Known, r.Put(registration("summary", "planner"), 0))
 	assert.Same(t, m, r.ByID("a"))
 	assert.NoError(t, m.Life().Err())
 	assert.Len(t, r.Service("planner"), 1)
 	assert.Len(t, r.Service("summary"), 1)
-	r.Put(entry("summary"), 0)
+	r.Put(registration("summary"), 0)
 	assert.Empty(t, r.Service("planner"))
 	assert.Len(t, r.Service("summary"), 1)
 }
 
-// A target's write may reach the store late, after the one that says that the
-// target is leaving: it does not bring the target back, whether its entry still
-// stands or has been removed.
-func TestLateWriteOfALeavingTarget(t *testing.T) {
-	entry := func(started, sequence int64, draining bool) ragworthitch.Target {
+// Guards against a delayed write that cancels a target's draining, or that adds a
+// drained target again.
+func TestLateWriteOfDrainingTarget(t *testing.T) {
+	registration := func(started, sequence int64, draining bool) ragworthitch.Target {
 		return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: "desk", Address: "127.0.0.1:1", Started: started, Sequence: sequence, Draining: draining})
 	}
 	for _, started := range []int64{0, 1000} {
 		var r Registry
-		r.Put(entry(started, 4, false), 0)
-		assert.Equal(t, Known, r.Put(entry(started, 6, true), 0))
-		assert.Equal(t, Ignored, r.Put(entry(started, 5, false), 0), "started %d", started)
+		r.Put(registration(started, 4, false), 0)
+		assert.Equal(t, Known, r.Put(registration(started, 6, true), 0))
+		assert.Equal(t, Ignored, r.Put(registration(started, 5, false), 0), "started %d", started)
 		assert.False(t, r.ByID("a").Takes(clock.Now()))
 	}
 	var r Registry
-	r.Put(entry(1000, 6, true), 0)
+	r.Put(registration(1000, 6, true), 0)
 	r.Vanish("a", clock.Now(), 0)
-	assert.Equal(t, Ignored, r.Put(entry(1000, 5, false), 0))
-	assert.Equal(t, Added, r.Put(entry(2000, 1, false), 0), "the next boot")
+	assert.Equal(t, Ignored, r.Put(registration(1000, 5, false), 0))
+	assert.Equal(t, Added, r.Put(registration(2000, 1, false), 0), "the next boot")
 }
--- a/registry/work.go
+++ b/registry/work.go
@@ -5,102 +5,97 @@
 )
 
 type (
-	// Load is work at a target.
+	// Load is the outstanding work at a target.
 	Load struct {
-		Prefill int // prompt tokens sent and not yet answered by a first event
-		Later   int // the same of calls that yield to others at the engine
+		Prefill int // prompt tokens of calls without a first event yet
+		Later   int // the same for calls that yield to others at the engine
 		Running int // calls in progress
-		Tokens  int // memory that calls and backup copies take, in tokens
+		Tokens  int // memory of calls and replicas, in tokens
 	}
 
-	// Work is what is known of the work at one target: this instance's own,
-	// exactly, and what other instances last said of theirs. The zero value
-	// is ready to use.
+	// Work holds the load at one target: this instance's own and what its peers last
+	// reported. The zero value is ready to use.
 	Work struct {
-		mu     sync.Mutex
-		own    Load
-		others map[string]Load // by instance
-		note   func(busy bool) // told of every change of own work; may be nil
+		mu       sync.Mutex
+		own      Load
+		peers    map[string]Load // as reported, by instance
+		onChange func(busy bool) // called after every change of own; may be nil
 	}
 )
 
-// add is the sum of two loads.
 func (l Load) add(o Load) Load {
 	return Load{Prefill: l.Prefill + o.Prefill, Later: l.Later + o.Later, Running: l.Running + o.Running, Tokens: l.Tokens + o.Tokens}
 }
 
-// Reads reports whether prompts are read at the target, as far as known.
+// Reads reports whether a prefill is known to run at the target.
 func (l Load) Reads() bool { return l.Prefill+l.Later > 0 }
 
-// Begin counts a call with a prompt to be read and the memory it takes, in
-// tokens; started is to be called when its first event has come, end when it
-// is over.
+// Begin adds a call with a prompt to prefill and the memory that it takes, both in
+// tokens. The caller calls started at the first event and end at the end.
 func (w *Work) Begin(prompt, tokens int) (started, end func()) {
 	return w.begin(Load{Prefill: prompt}, tokens)
 }
 
-// BeginLater counts a call as Begin does, but one whose prompt is read after
-// those of others.
+// BeginLater is Begin for a call whose prefill yields to others at the engine.
 func (w *Work) BeginLater(prompt, tokens int) (started, end func()) {
 	return w.begin(Load{Later: prompt}, tokens)
 }
 
-func (w *Work) begin(reading Load, tokens int) (started, end func()) {
-	w.change(reading.add(Load{Running: 1, Tokens: tokens}))
-	read := Load{Prefill: -reading.Prefill, Later: -reading.Later}
+func (w *Work) begin(prefill Load, tokens int) (started, end func()) {
+	w.change(prefill.add(Load{Running: 1, Tokens: tokens}))
+	prefilled := Load{Prefill: -prefill.Prefill, Later: -prefill.Later}
 	var once sync.Once
-	started = func() { once.Do(func() { w.change(read) }) }
+	started = func() { once.Do(func() { w.change(prefilled) }) }
 	return started, func() {
 		started()
 		w.change(Load{Running: -1, Tokens: -tokens})
 	}
 }
 
-// KeepCopy counts a backup copy of so many tokens placed at the target; drop
-// is to be called when it is not needed any more.
+// KeepCopy adds a replica of so many tokens at the target; drop removes it.
 func (w *Work) KeepCopy(tokens int) (drop func()) {
 	w.change(Load{Tokens: tokens})
 	return func() { w.change(Load{Tokens: -tokens}) }
 }
 
-func (w *Work) change(by Load) {
+func (w *Work) change(delta Load) {
 	w.mu.Lock()
-	w.own = w.own.add(by)
+	w.own = w.own.add(delta)
 	busy := w.own != Load{}
 	w.mu.Unlock()
-	if w.note != nil {
-		w.note(busy)
+	if w.onChange != nil {
+		w.onChange(busy)
 	}
 }
 
-// Own is this instance's work.
+// Own returns the load from this instance.
 func (w *Work) Own() Load {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.own
 }
 
-// All is the work of all instances, as far as they have said.
+// All returns the load from all instances, as last reported.
 func (w *Work) All() Load {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sum := w.own
-	for _, l := range w.others {
+	for _, l := range w.peers {
 		sum = sum.add(l)
 	}
 	return sum
 }
 
-// SetOther takes another instance's word for its work.
+// SetOther sets the load that a peer reported.
 func (w *Work) SetOther(node string, l Load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l == (Load{}) {
-		delete(w.others, node)
+		delete(w.peers, node)
 		return
 	}
-	if w.others == nil {
-		w.others = map[string]Load{}
+	if w.peers == nil {
+		w.peers = map[string]Load{}
 	}
-	w.others[node] = l
+	w.peers[node] = l
 }
