--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue is an unbounded FIFO queue for one consumer: pushes never
-// block and keep their order, and the memory held is the backlog only.
+// Package queue provides an unbounded FIFO queue for one consumer. Pushes never
+// block.
 package queue
 
 import "sync"
@@ -8,22 +8,22 @@
 type Queue[T any] struct {
 	mu     sync.Mutex
 	items  []T
-	spare  []T
+	spare  []T // backing array of the last Take, for reuse
 	signal chan struct{}
 }
 
-func (q *Queue[T]) ready() chan struct{} {
+func (q *Queue[T]) signalChan() chan struct{} {
 	if q.signal == nil {
 		q.signal = make(chan struct{}, 1)
 	}
 	return q.signal
 }
 
-// Push adds v at the back; it never blocks.
+// Push adds v at the end; it never blocks.
 func (q *Queue[T]) Push(v T) {
 	q.mu.Lock()
 	q.items = append(q.items, v)
-	ch := q.ready()
+	ch := q.signalChan()
 	q.mu.Unlock()
 	select {
 	case ch <- struct{}{}:
@@ -35,11 +35,11 @@
 func (q *Queue[T]) Ready() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ready()
+	return q.signalChan()
 }
 
-// Take removes and returns everything queued, oldest first. The slice is
-// valid until the next Take.
+// Take removes and returns all items, oldest first. The slice is valid until the
+// next Take.
 func (q *Queue[T]) Take() []T {
 	q.mu.Lock()
 	defer q.mu.Unlock()
