--- a/desired/bench_test.go
+++ b/desired/bench_test.go
@@ -5,8 +5,6 @@
 	"testing"
 )
 
-// BenchmarkJudge measures the judgement of a call with 8 and 400 routes and
-// 10 and 1,100 organisations.
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range []struct{ routes, orgs int }{{8, 10}, {400, 1100}} {
 		b.Run(fmt.Sprintf("routes=%d/orgs=%d", n.routes, n.orgs), func(b *testing.B) {
@@ -29,7 +27,8 @@
 	}
 }
 
-// BenchmarkApply measures the taking over of a state of that size.
+// BenchmarkApply measures the indexing of a state with 400 routes and 1,100
+// organisations.
 func BenchmarkApply(b *testing.B) {
 	spec := stateSpec{Version: 1, Keys: map[string]string{}}
 	for i := range 400 {
@@ -40,6 +39,6 @@
 	}
 	d := spec.state(b)
 	for b.Loop() {
-		compile(d)
+		newTable(d)
 	}
 }
--- a/desired/book.go
+++ b/desired/book.go
@@ -1,7 +1,7 @@
-// Package desired keeps the desired state in force at this instance and
-// decides what it allows: which route a call takes and which organisation a
-// key belongs to. Versions only move forward, and each answer says how old
-// the proof is that no newer version was in force.
+// Package desired holds the desired state that this instance applies and decides
+// what it allows: the route of a call and the organisation of its key. Versions
+// only increase, and each decision says how long ago the state was verified to be
+// the newest.
 package desired
 
 import (
@@ -15,10 +15,9 @@
 )
 
 var (
-	// ErrUnknown means that this instance cannot tell what is in force: it
-	// has read no desired state yet or its last proof is too old. The call
-	// was not run and may come back.
-	ErrUnknown = errors.New("desired: state in force not known")
+	// ErrStateUnknown means that this instance has read no desired state yet or that
+	// its last verification is too old. The call was not run and may be retried.
+	ErrStateUnknown = errors.New("desired: state in force not known")
 	// ErrNoRoute means that no route matches the call.
 	ErrNoRoute = errors.New("desired: no such route")
 	// ErrNoKey means that the key belongs to no organisation.
@@ -26,106 +25,104 @@
 )
 
 type (
-	// Book holds the newest desired state this instance has seen. The zero
-	// value knows nothing and needs its Ages set before use.
+	// Book holds the newest desired state that this instance has read. Make one with
+	// NewBook.
 	Book struct {
-		ages  Ages
-		cur   atomic.Pointer[table]
-		proof atomic.Int64 // clock.Time of the start of the last good read
+		ages       Ages
+		current    atomic.Pointer[table]
+		verifiedAt atomic.Int64 // clock.Time of the start of the last successful read
 
 		mu sync.Mutex // serialises Apply
 	}
 
-	// Ages bound how old the proof of the state in force may be.
+	// Ages limits how old the verification of the state may be.
 	Ages struct {
-		// Deny is the oldest proof on which a call may be denied for good
-		// (no route, unknown key). It lies below the time within which a
-		// new version has to be in force.
+		// Deny is the maximum age for a final rejection (no route, unknown key). It is
+		// shorter than the time within which a new version has to apply.
 		Deny time.Duration
-		// Key is the oldest proof on which a key is accepted. It lies below
-		// the time within which a key that was taken away has to be refused.
+		// Key is the maximum age for accepting a key. It is shorter than the time within
+		// which a revoked key has to be rejected.
 		Key time.Duration
 	}
 
-	// Grant is what the state in force allows a call.
+	// Grant is what the state allows a call.
 	Grant struct {
 		Route   *ragworthitch.Route
 		Service ragworthitch.Service
 		Org     string // empty if the route needs no key
-		// Priority is the call's rank: the organisation's if it has one of
-		// its own, else the route's. 0 is the most urgent.
+		// Priority is the organisation's priority if it has one, else the route's. 0 is
+		// the most urgent.
 		Priority int
 		Version  int64
-		Age      time.Duration // age of the proof that the version is in force
+		Age      time.Duration // time since the version was verified to be the newest
 	}
 )
 
-// NewBook returns a book that knows nothing yet.
+// NewBook returns a book without a state.
 func NewBook(ages Ages) *Book { return &Book{ages: ages} }
 
-// Apply takes a state over if it is newer than the one in force, and reports
-// whether it was.
+// Apply replaces the state by a newer one and reports whether d was newer.
 func (b *Book) Apply(d *ragworthitch.DesiredState) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if cur := b.cur.Load(); cur != nil && d.Version() <= cur.state.Version() {
+	if cur := b.current.Load(); cur != nil && d.Version() <= cur.state.Version() {
 		return false
 	}
-	b.cur.Store(compile(d))
+	b.current.Store(newTable(d))
 	return true
 }
 
-// Proved notes that at the moment at nothing newer than the applied state
-// was in force. at is the start of a read that has been answered.
+// Proved records that the applied state was the newest one at a time: the start of
+// a read of the store that succeeded.
 func (b *Book) Proved(at clock.Time) {
 	for {
-		old := b.proof.Load()
-		if int64(at) <= old || b.proof.CompareAndSwap(old, int64(at)) {
+		old := b.verifiedAt.Load()
+		if int64(at) <= old || b.verifiedAt.CompareAndSwap(old, int64(at)) {
 			return
 		}
 	}
 }
 
-// Age is how old the proof of the state in force is; ok is false if there is
-// none yet.
+// Age returns how long ago the state was verified to be the newest; ok is false if
+// it never was.
 func (b *Book) Age(now clock.Time) (age time.Duration, ok bool) {
-	p := b.proof.Load()
-	if p == 0 || b.cur.Load() == nil {
+	p := b.verifiedAt.Load()
+	if p == 0 || b.current.Load() == nil {
 		return 0, false
 	}
 	return now.Sub(clock.Time(p)), true
 }
 
-// State is the state in force, or nil if none is known.
+// State returns the applied state, or nil if there is none.
 func (b *Book) State() *ragworthitch.DesiredState {
-	if t := b.cur.Load(); t != nil {
+	if t := b.current.Load(); t != nil {
 		return t.state
 	}
 	return nil
 }
 
-// Judge decides what a call to host and path with a key may do. point, in
-// [0, 1), picks the service of a split route. Errors: ErrUnknown, ErrNoRoute
-// and ErrNoKey; the grant's Version and Age are set in any case.
+// Judge decides what a call to host and path with a key may do. point, in [0, 1),
+// picks the service of a split route. Errors: ErrStateUnknown, ErrNoRoute and
+// ErrNoKey. Version and Age of the grant are set unless no state was ever verified.
 func (b *Book) Judge(now clock.Time, host, path, key string, point float64) (Grant, error) {
 	age, ok := b.Age(now)
 	if !ok {
-		return Grant{}, ErrUnknown
+		return Grant{}, ErrStateUnknown
 	}
-	t := b.cur.Load()
+	t := b.current.Load()
 	g := Grant{Version: t.state.Version(), Age: age}
 	g.Route = t.route(host, path)
 	if g.Route == nil {
-		return g, b.deny(age, ErrNoRoute)
+		return g, b.denial(age, ErrNoRoute)
 	}
 	g.Priority = g.Route.Priority()
-	if t.keyed && !g.Route.Public() {
+	if t.keysRequired && !g.Route.Public() {
 		if age > b.ages.Key {
-			return g, ErrUnknown
+			return g, ErrStateUnknown
 		}
-		org := t.keys[key]
+		org := t.orgsByKey[key]
 		if org == nil {
-			return g, b.deny(age, ErrNoKey)
+			return g, b.denial(age, ErrNoKey)
 		}
 		g.Org = org.Name()
 		if org.Priority() >= 0 {
@@ -134,17 +131,17 @@
 	}
 	svc, ok := t.state.Service(g.Route.Service(point))
 	if !ok {
-		return g, ErrUnknown
+		return g, ErrStateUnknown
 	}
 	g.Service = svc
 	return g, nil
 }
 
-// deny returns err, or ErrUnknown if the proof is too old to deny a call for
-// good: a newer version may allow it.
-func (b *Book) deny(age time.Duration, err error) error {
+// denial returns err, or ErrStateUnknown if the verification is too old for a final
+// rejection, as a newer version may allow the call.
+func (b *Book) denial(age time.Duration, err error) error {
 	if age > b.ages.Deny {
-		return ErrUnknown
+		return ErrStateUnknown
 	}
 	return err
 }
--- a/desired/book_test.go
+++ b/desired/book_test.go
@@ -78,7 +78,7 @@
 
 func verdict(g Grant, err error) string {
 	switch {
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrStateUnknown):
 		return "unknown"
 	case errors.Is(err, ErrNoRoute):
 		return "noRoute"
@@ -88,10 +88,9 @@
 	return g.Route.Name()
 }
 
-// FuzzBook explores interleavings of the operator's changes, reads of them
-// that start and are answered in any order, and calls. Invariants: a call is
-// never judged by a version older than one it was judged by before, nor
-// accepted with a key that was taken away longer ago than the bound.
+// FuzzBook runs random sequences of changes to the desired state, delayed reads and
+// calls. It guards against decisions by an older version than before, and against
+// accepting a key that was revoked longer ago than Ages.Key.
 func FuzzBook(f *testing.F) {
 	for seed := range uint64(200) {
 		f.Add(seed)
@@ -105,34 +104,33 @@
 	})
 }
 
-// bookModel is the world around a book: the store's newest state, when a key
-// was taken away in it, and reads under way.
+// bookModel is the environment of a book: the newest state in the store, the
+// revoked keys, and reads in progress.
 type bookModel struct {
-	t     testing.TB
-	rng   *rand.Rand
-	book  *Book
-	now   clock.Time
-	state stateSpec
-	gone  map[string]clock.Time // keys taken away, since when
-	reads []bookRead
-	seen  int64
+	t             testing.TB
+	rng           *rand.Rand
+	book          *Book
+	now           clock.Time
+	state         stateSpec
+	revokedAt     map[string]clock.Time // by key
+	pendingReads  []bookRead
+	newestVersion int64
 }
 
-// bookRead is a read whose answer is on its way: what was newest at some
-// moment after it began.
+// bookRead is a read in progress, with the newest state at its start.
 type bookRead struct {
-	begun clock.Time
-	state stateSpec
+	startedAt clock.Time
+	state     stateSpec
 }
 
 func newBookModel(t testing.TB, rng *rand.Rand) *bookModel {
-	return &bookModel{t: t, rng: rng, book: NewBook(testAges), now: at(1), gone: map[string]clock.Time{},
+	return &bookModel{t: t, rng: rng, book: NewBook(testAges), now: at(1), revokedAt: map[string]clock.Time{},
 		state: stateSpec{Version: 1, Routes: []string{"a.example/x/"}, Keys: map[string]string{"k0": "o0", "k1": "o1", "k2": "o2"}}}
 }
 
 func (m *bookModel) step() {
 	switch m.rng.IntN(6) {
-	case 0: // time passes, now and then for long (a suspended machine)
+	case 0: // time passes, sometimes for long as on a suspended machine
 		d := time.Duration(m.rng.IntN(300)) * time.Millisecond
 		if m.rng.IntN(20) == 0 {
 			d *= 20
@@ -140,10 +138,10 @@
 		m.now = m.now.Add(d)
 	case 1:
 		m.change()
-	case 2: // a read begins; it sees the newest state
-		m.reads = append(m.reads, bookRead{begun: m.now, state: m.state})
-	case 3, 4: // some read is answered, in any order, or lost
-		m.answer()
+	case 2: // a read of the newest state starts
+		m.pendingReads = append(m.pendingReads, bookRead{startedAt: m.now, state: m.state})
+	case 3, 4: // a read ends, in any order, or fails
+		m.endRead()
 	case 5:
 		m.call()
 	}
@@ -157,40 +155,40 @@
 	k := []string{"k0", "k1", "k2"}[m.rng.IntN(3)]
 	if _, ok := keys[k]; ok {
 		delete(keys, k)
-		m.gone[k] = m.now
+		m.revokedAt[k] = m.now
 	} else {
 		keys[k] = "o"
-		delete(m.gone, k)
+		delete(m.revokedAt, k)
 	}
-	keys["always"] = "o9" // never without keys: that would mean that none are needed
+	keys["always"] = "o9" // without any keys, calls would need none
 	m.state = stateSpec{Version: m.state.Version + 1 + m.rng.Int64N(3), Routes: m.state.Routes, Keys: keys}
 }
 
-func (m *bookModel) answer() {
-	if len(m.reads) == 0 {
+func (m *bookModel) endRead() {
+	if len(m.pendingReads) == 0 {
 		return
 	}
-	i := m.rng.IntN(len(m.reads))
-	r := m.reads[i]
-	m.reads = append(m.reads[:i], m.reads[i+1:]...)
+	i := m.rng.IntN(len(m.pendingReads))
+	r := m.pendingReads[i]
+	m.pendingReads = append(m.pendingReads[:i], m.pendingReads[i+1:]...)
 	if m.rng.IntN(4) == 0 {
-		return // lost
+		return // the read failed
 	}
 	m.book.Apply(r.state.state(m.t))
-	m.book.Proved(r.begun)
+	m.book.Proved(r.startedAt)
 }
 
 func (m *bookModel) call() {
 	k := []string{"k0", "k1", "k2"}[m.rng.IntN(3)]
 	g, err := m.book.Judge(m.now, "a.example", "/x/1", k, 0)
 	if g.Version != 0 {
-		require.GreaterOrEqual(m.t, g.Version, m.seen, "went back to an older version")
-		m.seen = g.Version
+		require.GreaterOrEqual(m.t, g.Version, m.newestVersion, "decided by an older version than before")
+		m.newestVersion = g.Version
 	}
 	if err != nil {
 		return
 	}
-	if since, ok := m.gone[k]; ok {
-		require.LessOrEqual(m.t, m.now.Sub(since), testAges.Key, "key accepted long after it was taken away")
+	if since, ok := m.revokedAt[k]; ok {
+		require.LessOrEqual(m.t, m.now.Sub(since), testAges.Key, "key accepted too long after it was revoked")
 	}
 }
