--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -17,9 +17,9 @@
     "not run, though it may have": ("NOTRUN", "ingress/job.go", "	if !c.mayHaveRun {", "	if c != nil {"),
     "payments are sent again": ("TWICE", "ingress/plain.go", "			if c.mayHaveRun && !safe {", "			if false && c.mayHaveRun && !safe {"),
     "a removed key is good while the store is away": ("REVOKED", "desired/book.go", "		if age > b.ages.Key {", "		if false && age > b.ages.Key {"),
-    "states are taken over late": ("CURRENT", "desired/book.go", "	b.cur.Store(compile(d))", "	time.AfterFunc(4*time.Second, func() { b.cur.Store(compile(d)) })"),
-    "an older state is in force now and then": ("REVERTED", "desired/book.go", "	t := b.cur.Load()\n	g :=", "	t := b.cur.Load()\n	if p := b.old.Load(); p != nil && now%5 == 0 {\n		t = p\n	}\n	g :=",
-        "desired/book.go", "cur   atomic.Pointer[table]", "cur, old atomic.Pointer[table]", "desired/book.go", "	b.cur.Store(compile(d))", "	b.old.Store(b.cur.Load())\n	b.cur.Store(compile(d))"),
+    "states are taken over late": ("CURRENT", "desired/book.go", "	b.current.Store(newTable(d))", "	time.AfterFunc(4*time.Second, func() { b.current.Store(newTable(d)) })"),
+    "an older state is in force now and then": ("REVERTED", "desired/book.go", "	t := b.current.Load()\n	g :=", "	t := b.current.Load()\n	if p := b.old.Load(); p != nil && now%5 == 0 {\n		t = p\n	}\n	g :=",
+        "desired/book.go", "current    atomic.Pointer[table]", "current, old atomic.Pointer[table]", "desired/book.go", "	b.current.Store(newTable(d))", "	b.old.Store(b.current.Load())\n	b.current.Store(newTable(d))"),
     "targets that leave get work": ("DRAIN", "registry/registry.go", "!m.target.Draining() && ", ""),
     "calls are cut at the end": ("LOST", "instance/instance.go", "	if !clock.Sleep(life, leaveSettle) {", "	if i != nil {"),
     "another target's address": ("UNASKED", "platform/order.go", "	set(headExpect, o.Target.ID())\n", ""),
@@ -27,7 +27,7 @@
     "no end in time": ("FINAL", "ingress/handler.go", "	ctx, cancel := context.WithTimeout(ctx, limit)", "	ctx, cancel := context.WithTimeout(ctx, limit+time.Minute)"),
     "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashKeeper{Store: i.store}.Make(mctx, edits[:n])", "	err := mctx.Err()"),
     "a bystander is condemned": ("BYSTANDER", "poison/book.go", "		quarantine := !b.Dry && attributed >= threshold && b.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)", "		quarantine := attributed > 0"),
-    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.gone != nil {\n		close(s.gone)\n		s.gone = nil\n	}\n", "	panic(s)\n"),
+    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.lost != nil {\n		close(s.lost)\n		s.lost = nil\n	}\n", "	panic(s)\n"),
 }
 
 
