--- a/discovery/news_test.go
+++ b/discovery/changelog_test.go
@@ -15,10 +15,9 @@
 	"github.com/ragworthitch/ragworthitch/registry"
 )
 
-// The load: 256 targets are read at a start, then 50 of a zone are gone and come
-// back under other ids. That is a line for each thing that happened in a zone, not
-// for each target; one target's change has a line of its own.
-func TestLinesOnTargets(t *testing.T) {
+// Changes of many targets, as at a start or when a zone restarts, don't log a line for
+// each target; a single change does.
+func TestGroupsTargetChanges(t *testing.T) {
 	var log bytes.Buffer
 	var targets registry.Registry
 	sink := NewTargetSink(&targets, desired.NewBook(desired.Ages{}), zerolog.New(&log), func() {})
@@ -44,12 +43,12 @@
 		changed = append(changed, Entry{ID: entry(n, 1).ID, Gone: true}, entry(n, 2))
 	}
 	sink.Change(changed, clock.Now())
-	assert.Contains(t, log.String(), "i-250-2", "each target can be found")
+	assert.Contains(t, log.String(), "i-250-2", "a grouped line lists all targets")
 	assert.Equal(t, 2, lines())
 
 	sink.Change([]Entry{entry(1, 3)}, clock.Now())
 	assert.Contains(t, log.String(), `"target":"i-1-3"`)
 	assert.Equal(t, 1, lines())
 	sink.Change([]Entry{entry(1, 3)}, clock.Now())
-	assert.Zero(t, lines(), "a heartbeat is no news")
+	assert.Zero(t, lines(), "a heartbeat is not logged")
 }
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -1,6 +1,6 @@
 // Package discovery follows tables of the platform's store: it reads a table
-// once, then waits for its changes, reads it anew when changes were missed,
-// and says how old its knowledge is.
+// once, then polls for changes, reads the whole table again when changes were
+// missed, and reports how stale its data is.
 package discovery
 
 import (
@@ -16,273 +16,267 @@
 )
 
 const (
-	// firstBackoff and maxBackoff bound the wait after a failed call; the
-	// store answers in 4 ms, and a fresh start must not be far behind its
-	// return.
-	firstBackoff = 30 * time.Millisecond
-	maxBackoff   = 300 * time.Millisecond
-	// answerTime is how long the store may take beyond the wait it was
-	// asked for before the connection counts as dead.
-	answerTime = 400 * time.Millisecond
-	// slowAnswerTime is the same after a call has failed that way: a slow
-	// store, which takes some 50 times its usual 4 to 8 ms, is still of use.
-	slowAnswerTime = 1500 * time.Millisecond
-	// relayGap is the least time between the starts of two calls to a relay,
-	// which answers when there is news: changes that come together are taken
-	// together, and none is much later for it.
-	relayGap = 50 * time.Millisecond
-	// panicPause is the wait after a panic while a table was taken over.
-	panicPause = time.Second
-	// lagRoom is how many times as long as the last answer one may take.
-	lagRoom = 2
+	// initialBackoff and maxBackoff bound the delay after a failed call. They are
+	// short, so that a starting instance reads the tables soon after the store is
+	// available again.
+	initialBackoff = 30 * time.Millisecond
+	maxBackoff     = 300 * time.Millisecond
+	// responseTimeout is how long the store may take beyond the requested wait
+	// before the call is abandoned and idle connections are closed.
+	responseTimeout = 400 * time.Millisecond
+	// slowResponseTimeout replaces responseTimeout after a failed call, so that a
+	// slow store can still be read.
+	slowResponseTimeout = 1500 * time.Millisecond
+	// minRelayInterval is the minimum time between the starts of two calls to a
+	// relay, which answers as soon as a row changes: changes that follow each other
+	// closely are fetched together.
+	minRelayInterval = 50 * time.Millisecond
+	panicRetryDelay  = time.Second
+	// latencyFactor times the latency of the last answer is the timeout of the next
+	// call, if that is longer than responseTimeout.
+	latencyFactor = 2
 )
 
 var (
-	// ErrMissed is returned by a Source when changes were lost: the table has
-	// to be read anew.
+	// ErrMissed is returned by a Source when the changes since a version are no
+	// longer available: the whole table has to be read again.
 	ErrMissed = errors.New("discovery: changes were missed")
 
-	// errRelay is why a call to a Relay failed: the next one goes elsewhere.
-	errRelay = errors.New("discovery: relay failed")
-	// errPanicked is why a call ended that panicked in this process.
-	errPanicked = errors.New("discovery: panic")
+	errRelayFailed = errors.New("discovery: relay failed")
+	errPanicked    = errors.New("discovery: panic")
 )
 
 type (
-	// Reading is what a Source knows of a table.
+	// Reading is the result of a call to a Source.
 	Reading[T any] struct {
 		Rows    []T
 		Version int64
-		// Relayed says that another instance has read this from the store, and
-		// what Proved and Away are: the moment up to which nothing but Rows is
-		// known to have changed, and the last one at which the store did not
-		// answer that instance; 0: none.
+		// Relayed is set if another instance read the rows from the store. Proved
+		// and Away are only set then.
 		Relayed bool
-		Proved  clock.Time
-		Away    clock.Time
+		Proved  clock.Time // Rows contains all changes up to this time
+		Away    clock.Time // when the store last failed to answer that instance; 0: never
 	}
 
 	// Source is a table of the store.
 	Source[T any] interface {
 		// Read reads the whole table.
 		Read(ctx context.Context) (Reading[T], error)
-		// Changes waits for rows changed after a version.
+		// Changes waits for rows that changed after a version, at most for wait.
 		Changes(ctx context.Context, after int64, wait time.Duration) (Reading[T], error)
-		// Drop closes idle connections, which may have gone silent.
+		// Drop closes idle connections, which may be dead.
 		Drop()
 	}
 
-	// Relay is a Source that knows the table from another instance, which
-	// follows it for several. Its calls end by themselves.
+	// Relay is a Source that reads the table from another instance, which polls
+	// the store for several. Its calls have timeouts of their own.
 	Relay[T any] interface {
 		Source[T]
-		// Use reports whether the next call should go there.
+		// Use reports whether the next call should go to the relay.
 		Use() bool
 	}
 
-	// Sink takes what a Follower learns.
+	// Sink receives the rows of a table from a Follower.
 	Sink[T any] interface {
-		// Replace takes the whole table, read from at on.
+		// Replace sets the whole table; rows contains all changes up to at.
 		Replace(rows []T, at clock.Time)
-		// Change takes changed rows; rows may be empty: nothing changed up
-		// to at.
+		// Change applies all changes up to at; rows may be empty.
 		Change(rows []T, at clock.Time)
-		// Away takes note that the store did not answer at a moment.
+		// Away records that the store was unavailable at a time.
 		Away(at clock.Time)
 	}
 
-	// Follower keeps a Sink up to date with a Source.
+	// Follower copies a table from a Source to a Sink and keeps the copy up to date.
 	Follower[T any] struct {
 		Name   string // of the table, for logs
 		Source Source[T]
-		Relay  Relay[T] // asked in place of Source when it can be; nil: never
+		Relay  Relay[T] // called in place of Source while its Use returns true; nil: never
 		Sink   Sink[T]
-		Wait   time.Duration // how long to wait for changes in one call
-		Gap    time.Duration // least time between the starts of two calls
-		Reread time.Duration // the table is read whole this often at least; 0: never
-		// Contact is shared with other followers of the store; nil: with none.
-		// Rests says that this one waits for another's word while the store
-		// is away.
-		Contact *Contact
-		Rests   bool
-		// Backoff is the longest wait after a failed call, as of now; nil:
-		// maxBackoff.
+		Wait   time.Duration // how long a call waits for changes
+		Gap    time.Duration // minimum time between the starts of two calls
+		Reread time.Duration // interval of reads of the whole table; 0: never
+		// Recovery is shared with the other followers of the store; nil: not shared.
+		// With AwaitsRecovery, this follower waits for another follower's successful
+		// call after two failed calls of its own.
+		Recovery       *RecoverySignal
+		AwaitsRecovery bool
+		// Backoff returns the maximum delay after a failed call; nil: maxBackoff.
 		Backoff func() time.Duration
 		Log     zerolog.Logger
 
-		version int64
-		readAt  clock.Time
-		fails   int
-		lag     time.Duration // what the last answer took beyond the wait asked for
-		relayed bool          // the last call went to the relay
-		behind  bool          // the relay has failed since the last answer: knowledge has grown old
-		away    clock.Time    // when the store was last away, as the relay says
+		version       int64
+		lastFullRead  clock.Time
+		failures      int
+		latency       time.Duration // of the last answer, beyond the requested wait
+		viaRelay      bool          // the last call went to the relay
+		relayFailed   bool          // the last call went to the relay and failed
+		unavailableAt clock.Time    // when the store was last unavailable, as reported by the relay
 	}
 )
 
 // Run follows the table until ctx ends.
 func (f *Follower[T]) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		begun := clock.Now()
-		err := f.guarded(ctx, begun)
+		start := clock.Now()
+		err := f.pollRecovering(ctx, start)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if errors.Is(err, errPanicked) {
-			f.Log.Error().Str("table", f.Name).Int64("version", f.version).Err(err).Msg("discovery: panic while a table was taken over; what is known stays")
-			clock.Sleep(ctx, panicPause)
+			f.Log.Error().Str("table", f.Name).Int64("version", f.version).Err(err).Msg("discovery: panic while applying rows; keeping the previous ones")
+			clock.Sleep(ctx, panicRetryDelay)
 			continue
 		}
-		f.behind = errors.Is(err, errRelay)
-		if f.behind {
-			continue // the relay has noted why, and is not asked for a while
+		f.relayFailed = errors.Is(err, errRelayFailed)
+		if f.relayFailed {
+			continue // the relay logs the cause and returns false from Use for a while
 		}
-		f.note(err, begun)
-		if f.Rests && f.fails > 1 {
-			f.Contact.await(ctx)
+		f.recordOutcome(err, start)
+		if f.AwaitsRecovery && f.failures > 1 {
+			f.Recovery.wait(ctx)
 			continue
 		}
-		clock.Sleep(ctx, f.pause(err, clock.Now().Sub(begun)))
+		clock.Sleep(ctx, f.nextDelay(err, clock.Now().Sub(start)))
 	}
 	return nil
 }
 
-// guarded is step, and an error if that panics: a row that this process cannot take
-// would end it each time that it starts and reads it.
-func (f *Follower[T]) guarded(ctx context.Context, begun clock.Time) (err error) {
+// pollRecovering calls poll and turns a panic into an error, so that a row that makes
+// a decoder or sink panic doesn't crash every instance that reads it.
+func (f *Follower[T]) pollRecovering(ctx context.Context, start clock.Time) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = fmt.Errorf("%w: %v", errPanicked, v)
 		}
 	}()
-	return f.step(ctx, begun)
+	return f.poll(ctx, start)
 }
 
-// step makes one call.
-func (f *Follower[T]) step(ctx context.Context, begun clock.Time) error {
-	f.relayed = f.Relay != nil && f.Relay.Use()
-	if f.relayed {
-		return f.ask(ctx, begun)
+// poll makes one call to the relay or the source and delivers the result.
+func (f *Follower[T]) poll(ctx context.Context, start clock.Time) error {
+	f.viaRelay = f.Relay != nil && f.Relay.Use()
+	if f.viaRelay {
+		return f.pollRelay(ctx, start)
 	}
-	whole := f.version == 0 || f.Reread > 0 && begun.Sub(f.readAt) > f.Reread
-	limit, wait := f.patience()
-	if whole {
+	full := f.version == 0 || f.Reread > 0 && start.Sub(f.lastFullRead) > f.Reread
+	timeout, wait := f.callLimits()
+	if full {
 		wait = 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit+wait)
+	ctx, cancel := context.WithTimeout(ctx, timeout+wait)
 	defer cancel()
-	r, err := f.read(ctx, f.Source, whole, wait)
+	reading, err := f.fetch(ctx, f.Source, full, wait)
 	if err != nil {
 		return err
 	}
-	if took := clock.Now().Sub(begun); !whole && took >= wait {
-		f.lag = took - wait // nothing had changed
+	if elapsed := clock.Now().Sub(start); !full && elapsed >= wait {
+		f.latency = elapsed - wait // no rows changed: the source waited for the full time
 	}
-	f.take(r, whole, begun, begun)
+	f.deliver(reading, full, start, start)
 	return nil
 }
 
-// ask makes one call to the relay. The instance that answers reads the table
-// whole now and then, so that this one need not.
-func (f *Follower[T]) ask(ctx context.Context, begun clock.Time) error {
-	whole := f.version == 0
-	r, err := f.read(ctx, f.Relay, whole, f.Wait)
+// pollRelay makes one call to the relay. The answering instance rereads the whole
+// table regularly, so this one skips its own rereads.
+func (f *Follower[T]) pollRelay(ctx context.Context, start clock.Time) error {
+	full := f.version == 0
+	reading, err := f.fetch(ctx, f.Relay, full, f.Wait)
 	if errors.Is(err, ErrMissed) {
 		return err
 	}
 	if err != nil {
-		return errRelay
+		return errRelayFailed
 	}
-	if r.Away > f.away {
-		f.away = r.Away
-		f.Sink.Away(r.Away)
+	if reading.Away > f.unavailableAt {
+		f.unavailableAt = reading.Away
+		f.Sink.Away(reading.Away)
 	}
-	f.take(r, whole, begun, r.Proved)
-	f.readAt = begun
+	f.deliver(reading, full, start, reading.Proved)
+	f.lastFullRead = start
 	return nil
 }
 
-func (f *Follower[T]) read(ctx context.Context, from Source[T], whole bool, wait time.Duration) (Reading[T], error) {
-	if whole {
-		return from.Read(ctx)
+func (f *Follower[T]) fetch(ctx context.Context, source Source[T], full bool, wait time.Duration) (Reading[T], error) {
+	if full {
+		return source.Read(ctx)
 	}
-	return from.Changes(ctx, f.version, wait)
+	return source.Changes(ctx, f.version, wait)
 }
 
-// take hands over what a call that began at a moment has brought; it is
-// complete up to proved.
-func (f *Follower[T]) take(r Reading[T], whole bool, begun, proved clock.Time) {
-	f.regained(begun)
-	if whole {
-		f.version, f.readAt = r.Version, begun
-		f.Sink.Replace(r.Rows, proved)
+// deliver passes the result of a call that began at start to the sink. The result
+// contains all changes up to completeAt.
+func (f *Follower[T]) deliver(r Reading[T], full bool, start, completeAt clock.Time) {
+	f.recordAnswer(start)
+	if full {
+		f.version, f.lastFullRead = r.Version, start
+		f.Sink.Replace(r.Rows, completeAt)
 		return
 	}
 	f.version = max(f.version, r.Version)
-	f.Sink.Change(r.Rows, proved)
+	f.Sink.Change(r.Rows, completeAt)
 }
 
-// patience is how long the next call may take beyond the wait for changes that
-// it asks for. What it proves is as old as the call: a slow store is asked for a
-// shorter wait, and one that has just failed to answer, or is asked since the relay
-// has, for none.
-func (f *Follower[T]) patience() (limit, wait time.Duration) {
-	if f.fails > 0 {
-		return slowAnswerTime, 0
+// callLimits returns the wait to request in the next call and the timeout beyond that
+// wait. The sink's data is as stale as the call is long, so the wait shrinks with the
+// latency of the store, and is zero after a failed call to the store or the relay.
+func (f *Follower[T]) callLimits() (timeout, wait time.Duration) {
+	if f.failures > 0 {
+		return slowResponseTimeout, 0
 	}
-	limit = max(answerTime, lagRoom*f.lag)
-	if f.behind {
-		return limit, 0
+	timeout = max(responseTimeout, latencyFactor*f.latency)
+	if f.relayFailed {
+		return timeout, 0
 	}
-	return limit, max(0, f.Wait-f.lag)
+	return timeout, max(0, f.Wait-f.latency)
 }
 
-// regained takes note of an answer of the store to a call that began at a
-// moment. If calls had failed, the store has been away until about then.
-func (f *Follower[T]) regained(at clock.Time) {
-	if f.fails > 0 {
+// recordAnswer handles an answer to a call that began at a time. After failed calls,
+// the store counts as unavailable until that time.
+func (f *Follower[T]) recordAnswer(at clock.Time) {
+	if f.failures > 0 {
 		f.Sink.Away(at)
 	}
-	if f.Contact != nil {
-		f.Contact.answered()
+	if f.Recovery != nil {
+		f.Recovery.broadcast()
 	}
 }
 
-// note logs lost and regained contact, and has the table read anew after
-// missed changes.
-func (f *Follower[T]) note(err error, begun clock.Time) {
+// recordOutcome logs when the store becomes unavailable and available again, and makes
+// the next call read the whole table if changes were missed.
+func (f *Follower[T]) recordOutcome(err error, start clock.Time) {
 	switch {
-	case err == nil && f.fails > 0:
-		f.Log.Info().Str("table", f.Name).Int("failedCalls", f.fails).Int64("version", f.version).Msg("discovery: store regained")
-		f.fails = 0
+	case err == nil && f.failures > 0:
+		f.Log.Info().Str("table", f.Name).Int("failedCalls", f.failures).Int64("version", f.version).Msg("discovery: store available again")
+		f.failures = 0
 	case err == nil:
 	case errors.Is(err, ErrMissed):
 		f.version = 0
-		f.Log.Warn().Str("table", f.Name).AnErr("cause", err).Msg("discovery: changes missed; table is read anew")
+		f.Log.Warn().Str("table", f.Name).AnErr("cause", err).Msg("discovery: changes missed; reading the whole table again")
 	default:
-		if f.fails == 0 {
-			f.Log.Warn().Str("table", f.Name).Int64("version", f.version).Dur("after", clock.Now().Sub(begun)).Err(err).Msg("discovery: store lost")
+		if f.failures == 0 {
+			f.Log.Warn().Str("table", f.Name).Int64("version", f.version).Dur("after", clock.Now().Sub(start)).Err(err).Msg("discovery: store unavailable")
 		}
-		f.fails++
+		f.failures++
 		f.Sink.Away(clock.Now())
 		f.Source.Drop()
 	}
 }
 
-// pause is how long to wait before the next call.
-func (f *Follower[T]) pause(err error, took time.Duration) time.Duration {
+// nextDelay returns how long to wait before the next call. Delays after failures grow
+// exponentially, with jitter.
+func (f *Follower[T]) nextDelay(err error, elapsed time.Duration) time.Duration {
 	switch {
 	case errors.Is(err, ErrMissed):
 		return 0
-	case err == nil && f.relayed:
-		return max(min(f.Gap, relayGap)-took, 0)
+	case err == nil && f.viaRelay:
+		return max(min(f.Gap, minRelayInterval)-elapsed, 0)
 	case err == nil:
-		return max(f.Gap-took, 0)
+		return max(f.Gap-elapsed, 0)
 	}
-	longest := maxBackoff
+	maxDelay := maxBackoff
 	if f.Backoff != nil {
-		longest = f.Backoff()
+		maxDelay = f.Backoff()
 	}
-	d := min(firstBackoff<<min(f.fails-1, 6), longest)
-	return time.Duration(float64(d) * (0.5 + rand.Float64()))
+	delay := min(initialBackoff<<min(f.failures-1, 6), maxDelay)
+	return time.Duration(float64(delay) * (0.5 + rand.Float64()))
 }
--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -14,105 +14,106 @@
 	"github.com/ragworthitch/ragworthitch/clock"
 )
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("store unavailable")
 
-// script is a source whose answers are scripted, and a sink that notes what
-// it is told.
-type script struct {
+// scriptedStore is a Source with scripted answers, and a Sink that records its calls.
+type scriptedStore struct {
 	mu      sync.Mutex
 	answers []func(ctx context.Context) ([]int, int64, error)
 	calls   []string
-	told    []string
+	events  []string
 	rows    []int
-	done    context.CancelFunc
+	cancel  context.CancelFunc
 }
 
-func (s *script) next(ctx context.Context, call string) (Reading[int], error) {
+func (s *scriptedStore) next(ctx context.Context, call string) (Reading[int], error) {
 	s.mu.Lock()
 	s.calls = append(s.calls, call)
 	if len(s.answers) == 0 {
 		s.mu.Unlock()
-		s.done()
+		s.cancel()
 		<-ctx.Done()
 		return Reading[int]{}, ctx.Err()
 	}
-	a := s.answers[0]
+	answer := s.answers[0]
 	s.answers = s.answers[1:]
 	s.mu.Unlock()
-	rows, version, err := a(ctx)
+	rows, version, err := answer(ctx)
 	return Reading[int]{Rows: rows, Version: version}, err
 }
 
-func (s *script) Read(ctx context.Context) (Reading[int], error) { return s.next(ctx, "read") }
-func (s *script) Changes(ctx context.Context, after int64, _ time.Duration) (Reading[int], error) {
+func (s *scriptedStore) Read(ctx context.Context) (Reading[int], error) { return s.next(ctx, "read") }
+func (s *scriptedStore) Changes(ctx context.Context, after int64, _ time.Duration) (Reading[int], error) {
 	return s.next(ctx, "changes")
 }
-func (s *script) Drop() { s.note("drop") }
+func (s *scriptedStore) Drop() { s.record("drop") }
 
-func (s *script) Replace(rows []int, _ clock.Time) { s.note("replace"); s.rows = rows }
-func (s *script) Change(rows []int, _ clock.Time)  { s.note("change"); s.rows = append(s.rows, rows...) }
-func (s *script) Away(clock.Time)                  { s.note("away") }
+func (s *scriptedStore) Replace(rows []int, _ clock.Time) { s.record("replace"); s.rows = rows }
+func (s *scriptedStore) Change(rows []int, _ clock.Time) {
+	s.record("change")
+	s.rows = append(s.rows, rows...)
+}
+func (s *scriptedStore) Away(clock.Time) { s.record("unavailable") }
 
-func (s *script) note(what string) {
+func (s *scriptedStore) record(event string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = append(s.told, what)
+	s.events = append(s.events, event)
 }
 
-func ok(v int64, rows ...int) func(context.Context) ([]int, int64, error) {
-	return func(context.Context) ([]int, int64, error) { return rows, v, nil }
+func returns(version int64, rows ...int) func(context.Context) ([]int, int64, error) {
+	return func(context.Context) ([]int, int64, error) { return rows, version, nil }
 }
 
-func fails(err error) func(context.Context) ([]int, int64, error) {
+func failsWith(err error) func(context.Context) ([]int, int64, error) {
 	return func(context.Context) ([]int, int64, error) { return nil, 0, err }
 }
 
-func silent(ctx context.Context) ([]int, int64, error) {
+func neverAnswers(ctx context.Context) ([]int, int64, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-func follow(t *testing.T, answers ...func(context.Context) ([]int, int64, error)) *script {
+func follow(t *testing.T, answers ...func(context.Context) ([]int, int64, error)) *scriptedStore {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := &script{answers: answers, done: cancel}
+	s := &scriptedStore{answers: answers, cancel: cancel}
 	f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: 10 * time.Millisecond}
-	begun := time.Now()
+	start := time.Now()
 	require.NoError(t, f.Run(ctx))
-	require.Less(t, time.Since(begun), 3*time.Second)
+	require.Less(t, time.Since(start), 3*time.Second)
 	return s
 }
 
 func TestFollowsChanges(t *testing.T) {
-	s := follow(t, ok(1, 10), ok(2, 20), ok(3), ok(4, 40))
+	s := follow(t, returns(1, 10), returns(2, 20), returns(3), returns(4, 40))
 	assert.Equal(t, []string{"read", "changes", "changes", "changes", "changes"}, s.calls)
 	assert.Equal(t, []int{10, 20, 40}, s.rows)
 }
 
-// Lost history has the table read anew; a failed call is made again and the
-// sink is told that the store was away.
-func TestFailures(t *testing.T) {
-	s := follow(t, fails(errAway), ok(1, 10), fails(ErrMissed), ok(9, 11, 12), fails(errAway), ok(10, 13))
+// Missed changes cause a read of the whole table. A failed call is repeated, and the
+// sink learns that the store was unavailable.
+func TestRecoversFromFailures(t *testing.T) {
+	s := follow(t, failsWith(errUnavailable), returns(1, 10), failsWith(ErrMissed), returns(9, 11, 12), failsWith(errUnavailable), returns(10, 13))
 	assert.Equal(t, []string{"read", "read", "changes", "read", "changes", "changes", "changes"}, s.calls)
 	assert.Equal(t, []int{11, 12, 13}, s.rows)
-	assert.Equal(t, []string{"away", "drop", "away", "replace", "replace", "away", "drop", "away", "change"}, s.told, "the store was away until it answered again")
+	assert.Equal(t, []string{"unavailable", "drop", "unavailable", "replace", "replace", "unavailable", "drop", "unavailable", "change"}, s.events, "the store counts as unavailable until it answers again")
 }
 
-// A connection that has gone silent is given up soon after the wait that was
-// asked for.
-func TestSilence(t *testing.T) {
-	s := follow(t, ok(1, 10), silent, ok(2, 20))
+// A call without an answer is abandoned soon after the requested wait.
+func TestAbandonsUnansweredCall(t *testing.T) {
+	s := follow(t, returns(1, 10), neverAnswers, returns(2, 20))
 	assert.Equal(t, []int{10, 20}, s.rows)
-	assert.Contains(t, s.told, "drop")
+	assert.Contains(t, s.events, "drop")
 }
 
-// Followers that rest ask twice while the store is away, and then wait for the
-// answer that another one gets.
-func TestRestsWhileAway(t *testing.T) {
+// A follower with AwaitsRecovery stops polling after two failed calls until another
+// follower reaches the store.
+func TestAwaitsRecovery(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	var contact Contact
-	s := &script{answers: []func(context.Context) ([]int, int64, error){ok(1, 10), fails(errAway), fails(errAway), ok(2, 20)}, done: cancel}
-	f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: 10 * time.Millisecond, Contact: &contact, Rests: true}
+	var recovery RecoverySignal
+	s := &scriptedStore{answers: []func(context.Context) ([]int, int64, error){returns(1, 10), failsWith(errUnavailable), failsWith(errUnavailable), returns(2, 20)}, cancel: cancel}
+	f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: 10 * time.Millisecond, Recovery: &recovery, AwaitsRecovery: true}
 	done := make(chan error, 1)
 	go func() { done <- f.Run(ctx) }()
 	calls := func() int {
@@ -121,30 +122,30 @@
 		return len(s.calls)
 	}
 	require.Eventually(t, func() bool { return calls() == 3 }, time.Second, time.Millisecond)
-	assert.Never(t, func() bool { return calls() > 3 }, restWait/4, 10*time.Millisecond, "it goes on asking")
-	contact.answered()
-	require.Eventually(t, func() bool { return calls() > 3 }, restWait/4, time.Millisecond, "it waits on though the store is back")
+	assert.Never(t, func() bool { return calls() > 3 }, maxRecoveryWait/4, 10*time.Millisecond, "the follower keeps polling")
+	recovery.broadcast()
+	require.Eventually(t, func() bool { return calls() > 3 }, maxRecoveryWait/4, time.Millisecond, "the follower ignores the recovery")
 	require.NoError(t, <-done)
 	assert.Equal(t, []int{10, 20}, s.rows)
 }
 
-// panicking is a sink that panics over a row.
-type panicking struct{ *script }
+// panickingSink panics on row 13.
+type panickingSink struct{ *scriptedStore }
 
-func (p panicking) Change(rows []int, at clock.Time) {
+func (p panickingSink) Change(rows []int, at clock.Time) {
 	if len(rows) > 0 && rows[0] == 13 {
 		panic("row 13")
 	}
-	p.script.Change(rows, at)
+	p.scriptedStore.Change(rows, at)
 }
 
-// A row that this process panics over does not end it: what is known stays, and the
-// table is followed on.
-func TestPanicIsNoEnd(t *testing.T) {
+// A sink that panics on a row doesn't end the follower: the earlier rows stay, and
+// later changes are applied.
+func TestSurvivesSinkPanic(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	s := &script{answers: []func(context.Context) ([]int, int64, error){ok(1, 10), ok(2, 13), ok(3, 20)}, done: cancel}
-	f := &Follower[int]{Name: "t", Source: s, Sink: panicking{s}, Log: zerolog.Nop(), Wait: 10 * time.Millisecond}
+	s := &scriptedStore{answers: []func(context.Context) ([]int, int64, error){returns(1, 10), returns(2, 13), returns(3, 20)}, cancel: cancel}
+	f := &Follower[int]{Name: "t", Source: s, Sink: panickingSink{s}, Log: zerolog.Nop(), Wait: 10 * time.Millisecond}
 	require.NoError(t, f.Run(ctx))
 	assert.Equal(t, []int{10, 20}, s.rows)
 }
--- a/discovery/relay_test.go
+++ b/discovery/relay_test.go
@@ -12,7 +12,8 @@
 	"github.com/ragworthitch/ragworthitch/clock"
 )
 
-// scriptedRelay answers as scripted, and is asked as long as it has answers.
+// scriptedRelay is a Relay with scripted answers; without any left, it reports itself
+// unusable.
 type scriptedRelay struct {
 	answers []func() (Reading[int], error)
 	calls   []string
@@ -29,82 +30,82 @@
 
 func (r *scriptedRelay) next(call string) (Reading[int], error) {
 	r.calls = append(r.calls, call)
-	a := r.answers[0]
+	answer := r.answers[0]
 	r.answers = r.answers[1:]
-	return a()
+	return answer()
 }
 
-// proofs is a sink that notes up to when it was told that it knows all.
-type proofs struct {
-	*script
-	at []clock.Time
+// completenessSink records the times up to which its rows were complete.
+type completenessSink struct {
+	*scriptedStore
+	completeAt []clock.Time
 }
 
-func (p *proofs) Replace(rows []int, at clock.Time) {
-	p.at = append(p.at, at)
-	p.script.Replace(rows, at)
+func (c *completenessSink) Replace(rows []int, at clock.Time) {
+	c.completeAt = append(c.completeAt, at)
+	c.scriptedStore.Replace(rows, at)
 }
-func (p *proofs) Change(rows []int, at clock.Time) {
-	p.at = append(p.at, at)
-	p.script.Change(rows, at)
+func (c *completenessSink) Change(rows []int, at clock.Time) {
+	c.completeAt = append(c.completeAt, at)
+	c.scriptedStore.Change(rows, at)
 }
 
-// A follower asks its relay as long as it can, takes over what that knows as of
-// when it knew it, and goes on with the store from there when the relay fails.
-func TestRelayThenStore(t *testing.T) {
+// A follower uses the relay and its completeness times, and continues from the last
+// version with the store when the relay fails.
+func TestFallsBackFromRelayToStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &script{answers: []func(context.Context) ([]int, int64, error){ok(9, 40)}, done: cancel}
-		sink := &proofs{script: s}
-		begun := clock.Now()
-		told := func(age time.Duration, version int64, rows ...int) func() (Reading[int], error) {
+		s := &scriptedStore{answers: []func(context.Context) ([]int, int64, error){returns(9, 40)}, cancel: cancel}
+		sink := &completenessSink{scriptedStore: s}
+		start := clock.Now()
+		answersAged := func(age time.Duration, version int64, rows ...int) func() (Reading[int], error) {
 			return func() (Reading[int], error) {
-				return Reading[int]{Rows: rows, Version: version, Relayed: true, Proved: begun.Add(-age)}, nil
+				return Reading[int]{Rows: rows, Version: version, Relayed: true, Proved: start.Add(-age)}, nil
 			}
 		}
-		away := func() (Reading[int], error) {
-			return Reading[int]{Rows: []int{30}, Version: 8, Relayed: true, Proved: begun, Away: begun.Add(-time.Second)}, nil
+		answersUnavailable := func() (Reading[int], error) {
+			return Reading[int]{Rows: []int{30}, Version: 8, Relayed: true, Proved: start, Away: start.Add(-time.Second)}, nil
 		}
 		relay := &scriptedRelay{answers: []func() (Reading[int], error){
-			told(3*time.Second, 5, 10), told(2*time.Second, 6, 20),
-			func() (Reading[int], error) { return Reading[int]{}, ErrMissed }, told(time.Second, 7, 25), away,
-			func() (Reading[int], error) { return Reading[int]{}, errAway }}}
+			answersAged(3*time.Second, 5, 10), answersAged(2*time.Second, 6, 20),
+			func() (Reading[int], error) { return Reading[int]{}, ErrMissed }, answersAged(time.Second, 7, 25), answersUnavailable,
+			func() (Reading[int], error) { return Reading[int]{}, errUnavailable }}}
 		f := &Follower[int]{Name: "t", Source: s, Relay: relay, Sink: sink, Log: zerolog.Nop(), Wait: 10 * time.Millisecond, Reread: time.Hour}
 		assert.NoError(t, f.Run(ctx))
 		assert.Equal(t, []string{"read", "changes", "changes", "read", "changes", "changes"}, relay.calls)
-		assert.Equal(t, []string{"changes", "changes"}, s.calls, "the table is known up to where the relay told it")
+		assert.Equal(t, []string{"changes", "changes"}, s.calls, "the store is asked for changes after the relay's last version")
 		assert.Equal(t, []int{25, 30, 40}, s.rows)
-		assert.Equal(t, []clock.Time{begun.Add(-3 * time.Second), begun.Add(-2 * time.Second), begun.Add(-time.Second), begun}, sink.at[:4])
-		assert.Equal(t, []string{"replace", "change", "replace", "away", "change", "change"}, s.told, "a failed relay is no lost store")
+		assert.Equal(t, []clock.Time{start.Add(-3 * time.Second), start.Add(-2 * time.Second), start.Add(-time.Second), start}, sink.completeAt[:4])
+		assert.Equal(t, []string{"replace", "change", "replace", "unavailable", "change", "change"}, s.events, "a failed relay doesn't make the store unavailable")
 	})
 }
 
-// The load: a hundred instances have lost the store, which refuses calls at once.
-// Each waits as long as their number asks for, and finds it again within that.
-func TestBackoffOfMany(t *testing.T) {
+// While the store is unavailable, a follower polls at its maximum backoff, and reaches the
+// store within that delay, plus jitter, once it is available again.
+func TestHonoursMaxBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const longest, outage = time.Second, 8 * time.Second
-		ctx, cancel := context.WithTimeout(t.Context(), outage+3*longest)
+		const maxDelay, outage = time.Second, 8 * time.Second
+		ctx, cancel := context.WithTimeout(t.Context(), outage+3*maxDelay)
 		defer cancel()
-		begun := time.Now()
+		start := time.Now()
 		calls := 0
-		var back time.Duration
-		s := &script{done: cancel}
+		var recoveryDelay time.Duration
+		s := &scriptedStore{cancel: cancel}
 		for range 200 {
 			s.answers = append(s.answers, func(context.Context) ([]int, int64, error) {
-				if time.Since(begun) < outage {
+				if time.Since(start) < outage {
 					calls++
-					return nil, 0, errAway
+					return nil, 0, errUnavailable
 				}
-				if back == 0 {
-					back = time.Since(begun) - outage
+				if recoveryDelay == 0 {
+					recoveryDelay = time.Since(start) - outage
 				}
 				return nil, 1, nil
 			})
 		}
-		f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: 10 * time.Millisecond, Gap: longest, Backoff: func() time.Duration { return longest }}
+		f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: 10 * time.Millisecond, Gap: maxDelay, Backoff: func() time.Duration { return maxDelay }}
 		assert.NoError(t, f.Run(ctx))
-		assert.LessOrEqual(t, calls, 2*int(outage/longest))
-		assert.LessOrEqual(t, back, longest+longest/2)
+		assert.LessOrEqual(t, calls, 2*int(outage/maxDelay))
+		assert.LessOrEqual(t, recoveryDelay, maxDelay+maxDelay/2)
 	})
 }
--- a/discovery/sinks.go
+++ b/discovery/sinks.go
@@ -14,14 +14,14 @@
 	"github.com/ragworthitch/ragworthitch/rollout"
 )
 
-// lapseHold is how long after the store's return a target still counts whose
-// entry lapsed meanwhile: living targets have written theirs again within
-// about two seconds.
-const lapseHold = 2200 * time.Millisecond
+// lapsedEntryGrace is how long a target whose entry lapsed while the store was
+// unavailable stays registered after the store is available again. Running targets
+// write their entries again within about two seconds.
+const lapsedEntryGrace = 2200 * time.Millisecond
 
 type (
-	// Entry is a target's entry in the store, or the news that it is gone or
-	// cannot be read; Target is set if it can.
+	// Entry is a target's entry in the store. Target is set unless the entry is gone
+	// or unreadable.
 	Entry struct {
 		ID         string
 		Target     ragworthitch.Target
@@ -29,126 +29,124 @@
 		Unreadable bool
 	}
 
-	// PeerEntry is another entry instance's entry, or the news that it is
-	// gone.
+	// PeerEntry is the entry of another entry instance, or its removal.
 	PeerEntry struct {
 		Peer exchange.Peer
 		Gone bool
 	}
 
-	// InstanceRow is what an entry instance tells the others: that it is there, that
-	// a target has crashed under a request, or what it knows of a roll-out. One is set.
+	// InstanceRow is a row written by an entry instance: its own entry, the crash of a
+	// target that ran a request, or the state of a roll-out. Exactly one field is set.
 	InstanceRow struct {
 		Peer    *PeerEntry
 		Crash   *poison.Row
 		Rollout *RolloutRow
 	}
 
-	// RolloutRow is the status of a roll-out, or evidence for one. One is set.
+	// RolloutRow is the status of a roll-out or evidence for it. Exactly one field is
+	// set.
 	RolloutRow struct {
 		Status   *rollout.Status
 		Evidence *rollout.Evidence
 	}
 
-	// OrderRow is the operator's order of a roll-out, or the news that the one for its
-	// service is gone.
+	// OrderRow is the operator's order of a roll-out of a service, or its removal.
 	OrderRow struct {
 		Order rollout.Order
 		Gone  bool
 	}
 
-	// OperatorRow is what the operator wrote. One is set.
+	// OperatorRow is a row written by the operator. Exactly one field is set.
 	OperatorRow struct {
 		State *ragworthitch.DesiredState
 		Order *OrderRow
 	}
 
-	// InstanceSink takes what instances tell each other over into an Exchange and a
-	// poison.Book. Read is called after each whole reading of the table.
+	// InstanceSink applies the rows of instances to the peers, crash records and
+	// roll-outs. OnRead is called after each read of the whole table.
 	InstanceSink struct {
 		Exchange *exchange.Exchange
 		Crashes  *poison.Book
 		Rollouts *rollout.Book
-		Read     func()
+		OnRead   func()
 	}
 
-	// BookSink takes desired states over into a Book, and orders into another.
-	BookSink struct {
-		Book     *desired.Book
+	// OperatorSink applies desired states to Desired and orders to Rollouts.
+	OperatorSink struct {
+		Desired  *desired.Book
 		Rollouts *rollout.Book
 		Log      zerolog.Logger
 	}
 
-	// TargetSink takes entries over into a Registry. Make one with
+	// TargetSink applies targets' entries to a Registry. Make one with
 	// NewTargetSink.
 	TargetSink struct {
 		targets *registry.Registry
-		book    *desired.Book
+		desired *desired.Book
 		log     zerolog.Logger
-		// Rollouts is told of the versions of targets; nil: nobody is.
-		Rollouts *rollout.Book
-		awayAt   clock.Time // the last moment at which the store was known to be away
-		read     func()
-		news     batch
+		// Rollouts receives the versions of targets; may be nil.
+		Rollouts      *rollout.Book
+		unavailableAt clock.Time // when the store was last unavailable; 0: never
+		onRead        func()
+		changes       changeLog
 	}
 )
 
-// Replace takes the newest state over, and the orders that there are.
-func (s BookSink) Replace(rows []OperatorRow, at clock.Time) {
-	stands := map[string]bool{}
+// Replace applies the whole table and withdraws orders that it doesn't contain.
+func (s OperatorSink) Replace(rows []OperatorRow, at clock.Time) {
+	present := map[string]bool{}
 	for _, r := range rows {
 		if r.Order != nil {
-			stands[r.Order.Order.Service] = true
+			present[r.Order.Order.Service] = true
 		}
 	}
 	for _, service := range s.Rollouts.Ordered() {
-		if !stands[service] {
+		if !present[service] {
 			s.Rollouts.Withdraw(service)
 		}
 	}
 	s.Change(rows, at)
 }
 
-// Change takes newer states and orders over.
-func (s BookSink) Change(rows []OperatorRow, at clock.Time) {
+// Change applies changed states and orders.
+func (s OperatorSink) Change(rows []OperatorRow, at clock.Time) {
 	for _, r := range rows {
 		switch {
 		case r.State != nil:
-			s.apply(r.State, at)
+			s.applyState(r.State, at)
 		case r.Order.Gone:
 			s.Rollouts.Withdraw(r.Order.Order.Service)
 		default:
 			s.Rollouts.Order(r.Order.Order, clock.Now())
 		}
 	}
-	s.Book.Proved(at)
+	s.Desired.Proved(at)
 }
 
-// apply takes a newer desired state over.
-func (s BookSink) apply(d *ragworthitch.DesiredState, at clock.Time) {
-	if s.Book.Apply(d) {
-		s.Log.Info().Int64("version", d.Version()).Int("routes", len(d.Routes())).Int("orgs", len(d.Organisations())).
-			Dur("readTook", clock.Now().Sub(at)).Msg("desired: state in force")
+func (s OperatorSink) applyState(state *ragworthitch.DesiredState, at clock.Time) {
+	if s.Desired.Apply(state) {
+		s.Log.Info().Int64("version", state.Version()).Int("routes", len(state.Routes())).Int("orgs", len(state.Organisations())).
+			Dur("readTook", clock.Now().Sub(at)).Msg("desired: new state in force")
 	}
 }
 
-// Away does nothing: the book's proof ages by itself.
-func (s BookSink) Away(clock.Time) {}
+// Away does nothing: Desired tracks the age of its state.
+func (s OperatorSink) Away(clock.Time) {}
 
-// Replace takes the whole table over.
+// Replace applies the whole table.
 func (s InstanceSink) Replace(rows []InstanceRow, at clock.Time) {
-	s.Crashes.Replace(s.takeRows(rows, at), clock.Now())
+	s.Crashes.Replace(s.applyRows(rows, at), clock.Now())
 	s.Rollouts.Read()
-	s.Read()
+	s.OnRead()
 }
 
-// Change takes changed rows over.
+// Change applies changed rows.
 func (s InstanceSink) Change(rows []InstanceRow, at clock.Time) {
-	s.Crashes.Change(s.takeRows(rows, at), clock.Now())
+	s.Crashes.Change(s.applyRows(rows, at), clock.Now())
 }
 
-// takeRows takes peers and roll-outs over, and returns the crashes.
-func (s InstanceSink) takeRows(rows []InstanceRow, at clock.Time) []poison.Row {
+// applyRows applies the rows of peers and roll-outs and returns the crashes.
+func (s InstanceSink) applyRows(rows []InstanceRow, at clock.Time) []poison.Row {
 	var crashes []poison.Row
 	for _, r := range rows {
 		if r.Peer != nil {
@@ -158,14 +156,14 @@
 			crashes = append(crashes, *r.Crash)
 		}
 		if r.Rollout != nil {
-			s.takeRollout(*r.Rollout)
+			s.applyRollout(*r.Rollout)
 		}
 	}
 	s.Exchange.Confirmed(at)
 	return crashes
 }
 
-func (s InstanceSink) takeRollout(r RolloutRow) {
+func (s InstanceSink) applyRollout(r RolloutRow) {
 	if r.Status != nil {
 		s.Rollouts.Status(*r.Status)
 	}
@@ -174,71 +172,71 @@
 	}
 }
 
-// Away does nothing: instances know of each other, and of crashes, without the store.
+// Away does nothing: instances also exchange this data directly.
 func (InstanceSink) Away(clock.Time) {}
 
-// NewTargetSink returns a sink into targets; read is called after each whole
-// reading of the table.
-func NewTargetSink(targets *registry.Registry, book *desired.Book, log zerolog.Logger, read func()) *TargetSink {
-	return &TargetSink{targets: targets, book: book, log: log, read: read}
+// NewTargetSink returns a sink that applies entries to targets. onRead is called after
+// each read of the whole table.
+func NewTargetSink(targets *registry.Registry, desiredStates *desired.Book, log zerolog.Logger, onRead func()) *TargetSink {
+	return &TargetSink{targets: targets, desired: desiredStates, log: log, onRead: onRead}
 }
 
-// Away notes that the store did not answer at a moment.
-func (s *TargetSink) Away(at clock.Time) { s.awayAt = at }
+// Away records that the store was unavailable at a time.
+func (s *TargetSink) Away(at clock.Time) { s.unavailableAt = at }
 
-// Replace makes the registry hold just the given entries.
+// Replace applies the whole table and removes targets that it doesn't contain.
 func (s *TargetSink) Replace(rows []Entry, at clock.Time) {
-	stands := make(map[string]bool, len(rows))
+	present := make(map[string]bool, len(rows))
 	for _, e := range rows {
-		stands[e.ID] = true
+		present[e.ID] = true
 	}
 	for _, id := range s.targets.IDs() {
-		if !stands[id] {
-			s.vanish(id)
+		if !present[id] {
+			s.remove(id)
 		}
 	}
 	s.Change(rows, at)
-	s.read()
+	s.onRead()
 }
 
-// Change takes changed entries over.
+// Change applies changed entries.
 func (s *TargetSink) Change(rows []Entry, at clock.Time) {
 	for _, e := range rows {
 		switch {
 		case e.Gone:
-			s.vanish(e.ID)
-		case e.Unreadable || s.misplaced(e.Target):
-			s.unreadable(e.ID)
+			s.remove(e.ID)
+		case e.Unreadable || s.changesService(e.Target):
+			s.markUnreadable(e.ID)
 		default:
 			s.put(e.Target)
 		}
 	}
 	s.targets.Expire(clock.Now())
-	s.news.flush(s.log, clock.Now().Sub(at))
+	s.changes.flush(s.log, clock.Now().Sub(at))
 }
 
-// misplaced reports whether an entry moves a known boot of a target to a
-// service that the state in force does not name: a target cannot change its
-// service, so the entry has another writer.
-func (s *TargetSink) misplaced(t ragworthitch.Target) bool {
-	d, m := s.book.State(), s.targets.Boot(t.Boot())
-	if d == nil || m == nil || m.Target().Service() == t.Service() {
+// changesService reports whether an entry moves a known boot of a target to a
+// service that the desired state doesn't contain. A target cannot change its service,
+// so another process wrote the entry.
+func (s *TargetSink) changesService(t ragworthitch.Target) bool {
+	state, m := s.desired.State(), s.targets.Boot(t.Boot())
+	if state == nil || m == nil || m.Target().Service() == t.Service() {
 		return false
 	}
-	_, named := d.Service(t.Service())
-	return !named
+	_, known := state.Service(t.Service())
+	return !known
 }
 
-// unreadable keeps new work from a target whose entry cannot be read.
-func (s *TargetSink) unreadable(id string) {
+// markUnreadable stops new calls to a target whose entry cannot be used.
+func (s *TargetSink) markUnreadable(id string) {
 	if s.targets.Unreadable(id) {
-		s.log.Warn().Str("target", id).Msg("discovery: target's entry not readable; it takes no new work")
+		s.log.Warn().Str("target", id).Msg("discovery: target entry unreadable; the target gets no new calls")
 	}
 }
 
 func (s *TargetSink) put(t ragworthitch.Target) {
 	maxConns := 0
-	if d := s.book.State(); d != nil {
+	if d := s.desired.State(); d != nil {
 		if svc, ok := d.Service(t.Service()); ok {
 			maxConns = svc.MaxConns()
 		}
@@ -252,21 +250,21 @@
 	}
 	outcome := s.targets.Put(t, maxConns)
 	if changed || outcome != registry.Known {
-		s.news.add(newsOf{outcome: outcome, zone: t.Zone(), service: t.Service(), draining: t.Draining()}, t)
+		s.changes.add(targetChange{outcome: outcome, zone: t.Zone(), service: t.Service(), draining: t.Draining()}, t)
 	}
 }
 
-// vanish removes a target, at once or, if its entry may have lapsed only
-// because the store was away, a little later.
-func (s *TargetSink) vanish(id string) {
+// remove removes a target, or schedules its removal if its entry may have lapsed only
+// because the store was unavailable.
+func (s *TargetSink) remove(id string) {
 	now := clock.Now()
-	until := now
-	if s.awayAt != 0 {
-		until = max(now, s.awayAt.Add(lapseHold))
+	removeAt := now
+	if s.unavailableAt != 0 {
+		removeAt = max(now, s.unavailableAt.Add(lapsedEntryGrace))
 	}
 	if m := s.targets.ByID(id); m != nil {
 		t := m.Target()
-		s.news.add(newsOf{outcome: gone, zone: t.Zone(), service: t.Service(), draining: t.Draining(), held: until > now}, t)
+		s.changes.add(targetChange{outcome: outcomeGone, zone: t.Zone(), service: t.Service(), draining: t.Draining(), held: removeAt > now}, t)
 	}
-	s.targets.Vanish(id, now, until)
+	s.targets.Vanish(id, now, removeAt)
 }
--- a/instance/follow.go
+++ b/instance/follow.go
@@ -98,8 +98,8 @@
 	p.Go((&discovery.Follower[discovery.OperatorRow]{Name: platform.TableOperator, Log: i.log,
 		Source: platform.OperatorTable{Reader: direct(platform.TableOperator), Unreadable: i.unreadable},
 		Relay:  asking[discovery.OperatorRow]{platform.OperatorTable{Reader: states, Unreadable: i.unreadable}, states},
-		Sink:   discovery.BookSink{Book: i.book, Rollouts: &i.rollouts, Log: i.log},
-		Wait:   i.desiredWait(), Reread: reread, Contact: &i.contact, Backoff: choice.Backoff}).Run)
+		Sink:   discovery.OperatorSink{Desired: i.book, Rollouts: &i.rollouts, Log: i.log},
+		Wait:   i.desiredWait(), Reread: reread, Recovery: &i.contact, Backoff: choice.Backoff}).Run)
 
 	targets := asker(platform.TableTargets, false)
 	targetSink := discovery.NewTargetSink(&i.targets, i.book, i.log, func() { i.targetsIn.Store(true) })
@@ -108,14 +108,14 @@
 		Source: platform.TargetTable{Reader: direct(platform.TableTargets), Unreadable: i.unreadable},
 		Relay:  asking[discovery.Entry]{platform.TargetTable{Reader: targets, Unreadable: i.unreadable}, targets},
 		Sink:   targetSink,
-		Wait:   targetWait, Gap: targetGap, Reread: rereadTargets, Contact: &i.contact, Rests: true, Backoff: choice.Backoff}).Run)
+		Wait:   targetWait, Gap: targetGap, Reread: rereadTargets, Recovery: &i.contact, AwaitsRecovery: true, Backoff: choice.Backoff}).Run)
 
 	instances := asker(platform.TableInstances, false)
 	p.Go((&discovery.Follower[discovery.InstanceRow]{Name: platform.TableInstances, Log: i.log,
 		Source: platform.InstanceTable{Reader: direct(platform.TableInstances), Unreadable: i.unreadable},
 		Relay:  asking[discovery.InstanceRow]{platform.InstanceTable{Reader: instances, Unreadable: i.unreadable}, instances},
-		Sink:   discovery.InstanceSink{Exchange: i.peers, Crashes: &i.crashes, Rollouts: &i.rollouts, Read: func() { i.crashesIn.Store(true) }},
-		Wait:   peerWait, Gap: peerGap, Contact: &i.contact, Rests: true, Backoff: choice.Backoff}).Run)
+		Sink:   discovery.InstanceSink{Exchange: i.peers, Crashes: &i.crashes, Rollouts: &i.rollouts, OnRead: func() { i.crashesIn.Store(true) }},
+		Wait:   peerWait, Gap: peerGap, Recovery: &i.contact, AwaitsRecovery: true, Backoff: choice.Backoff}).Run)
 }
 
 // asking is a table that is read by asking other instances.
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -85,7 +85,7 @@
 	front      *http.Server
 	metrics    http.Handler
 	unreadable *platform.Unreadable
-	contact    discovery.Contact
+	contact    discovery.RecoverySignal
 	relay      *relay.Server
 	budget     *budget.Budget
 	notes      notes
