--- a/instance/crashes.go
+++ b/instance/crashes.go
@@ -10,31 +10,29 @@
 )
 
 const (
-	// crashTime bounds a try to change the rows of crashes, and crashPause is between
-	// one that failed and the next. What is not kept is known by all instances that
-	// run, but not by those that start.
-	crashTime  = 400 * time.Millisecond
-	crashPause = 200 * time.Millisecond
-	// crashBatch is how many changes are made in one call, and forgetEvery how often
-	// it is looked for what is too old.
-	crashBatch  = 20
-	forgetEvery = time.Minute
+	// crashWriteTimeout bounds a write of crash records, and crashRetryDelay follows a
+	// failed write. Records that are not written are known to the running instances,
+	// but not to those that start later.
+	crashWriteTimeout    = 400 * time.Millisecond
+	crashRetryDelay      = 200 * time.Millisecond
+	maxCrashBatch        = 20
+	crashCleanupInterval = time.Minute
 )
 
-// keepCrashes keeps what is known of requests that crash targets in the store, so
-// that instances that start know it.
-func (i *Instance) keepCrashes(ctx context.Context) error {
-	forget := time.NewTicker(forgetEvery)
-	defer forget.Stop()
+// persistCrashes writes the records of poison requests to the store, where starting
+// instances read them.
+func (i *Instance) persistCrashes(ctx context.Context) error {
+	cleanup := time.NewTicker(crashCleanupInterval)
+	defer cleanup.Stop()
 	for ctx.Err() == nil {
 		edits, more := i.crashes.Take()
-		if n := batch(edits); n > 0 {
-			i.makeEdits(ctx, edits, n)
+		if n := batchSize(edits); n > 0 {
+			i.writeCrashEdits(ctx, edits, n)
 			continue
 		}
 		select {
 		case <-more:
-		case <-forget.C:
+		case <-cleanup.C:
 			i.crashes.Forget(clock.Now())
 		case <-ctx.Done():
 		}
@@ -42,38 +40,40 @@
 	return nil
 }
 
-// batch is how many of the first edits are made together: a row is not written and
-// dropped in one call.
-func batch(edits []poison.Edit) int {
+// batchSize returns the number of leading edits to write in one call: either writes or
+// deletions, since a row may not be written and deleted in the same call.
+func batchSize(edits []poison.Edit) int {
 	n := 0
-	for n < min(len(edits), crashBatch) && (len(edits[n].Drop) > 0) == (len(edits[0].Drop) > 0) {
+	for n < min(len(edits), maxCrashBatch) && (len(edits[n].Drop) > 0) == (len(edits[0].Drop) > 0) {
 		n++
 	}
 	return n
 }
 
-// makeEdits makes the first n edits, and gives back those that are left.
-func (i *Instance) makeEdits(ctx context.Context, edits []poison.Edit, n int) {
-	mctx, cancel := context.WithTimeout(ctx, crashTime)
+// writeCrashEdits writes the first n edits and returns the others to the queue, or all
+// edits if the write fails.
+func (i *Instance) writeCrashEdits(ctx context.Context, edits []poison.Edit, n int) {
+	writeCtx, cancel := context.WithTimeout(ctx, crashWriteTimeout)
 	defer cancel()
-	err := platform.CrashKeeper{Store: i.store}.Make(mctx, edits[:n])
+	err := platform.CrashKeeper{Store: i.store}.Make(writeCtx, edits[:n])
 	if err == nil {
 		i.crashes.Return(edits[n:])
 		return
 	}
-	i.log.Warn().Err(err).Int("edits", n).Msg("instance: crashes not kept; tried again")
+	i.log.Warn().Err(err).Int("edits", n).Msg("instance: crash records not written; will retry")
 	i.crashes.Return(edits)
-	clock.Sleep(ctx, crashPause)
+	clock.Sleep(ctx, crashRetryDelay)
 }
 
-// claimTrial takes a trial of a condemned request, unless another instance has.
-func (i *Instance) claimTrial(ctx context.Context, t poison.Trial) bool {
-	ctx, cancel := context.WithTimeout(ctx, crashTime)
+// claimProbe claims the probe of a quarantined request. It returns false if another
+// instance has claimed it or the store cannot be reached.
+func (i *Instance) claimProbe(ctx context.Context, probe poison.Trial) bool {
+	ctx, cancel := context.WithTimeout(ctx, crashWriteTimeout)
 	defer cancel()
-	row, err := platform.CrashKeeper{Store: i.store}.Claim(ctx, t)
+	row, err := platform.CrashKeeper{Store: i.store}.Claim(ctx, probe)
 	if err != nil {
-		i.log.Info().Stringer("fingerprint", t.Print).Int("trial", t.Count).AnErr("cause", err).Msg("instance: trial left to others")
+		i.log.Info().Stringer("fingerprint", probe.Print).Int("trial", probe.Count).AnErr("cause", err).Msg("instance: probe not claimed")
 		return false
 	}
-	return i.crashes.Claim(t, row, clock.Now())
+	return i.crashes.Claim(probe, row, clock.Now())
 }
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,6 +1,6 @@
 // Package instance assembles an entry instance on the platform: it follows
-// the store, serves callers and the balancer's question, and ends in order
-// when it is told to.
+// the store, serves callers and the load balancer's readiness check, and
+// drains before it stops.
 package instance
 
 import (
@@ -37,100 +37,99 @@
 )
 
 const (
-	// denyShare and keyShare of the operator's bounds are left to the age
-	// of a proof; the rest is for the way of the answer and slow machines.
-	denyShare = 0.95
-	keyShare  = 0.8
-	// readyShare of the time within which a key has to be refused is the
-	// oldest proof with which an instance counts as ready: callers should
-	// be elsewhere before keys cannot be judged here. A proof is 1.7 s old
-	// at most while the store answers, 2.3 s while it is 90 times slower.
-	readyShare = 0.52
+	// Fractions of the operator's bounds that the age of the desired state may
+	// use up; the rest covers network latency and slow machines.
+	denyAgeFraction = 0.95
+	keyAgeFraction  = 0.8
+	// readyAgeFraction of the time within which a revoked key has to be rejected
+	// is the maximum age of the desired state at a ready instance. It is below
+	// keyAgeFraction, so that the load balancer moves callers to other instances
+	// before this instance has to reject calls.
+	readyAgeFraction = 0.52
 
-	// heapShare of the memory limit is what the collector lets the heap
-	// grow to before it works harder.
-	heapShare = 0.7
+	// heapFraction of the memory limit is the soft memory limit of the Go runtime.
+	heapFraction = 0.7
 
-	// bodyShare of the memory limit is for the bodies of calls in progress.
-	bodyShare = 0.25
+	// bodyFraction of the memory limit bounds the bodies of calls in progress.
+	bodyFraction = 0.25
 
-	// announceTime bounds a try to write this instance's entry, and the
-	// pause after one that failed.
-	announceTime = time.Second
+	// announceTimeout bounds a write of this instance's entry or a call for cache
+	// locations, and is the delay after a failed one.
+	announceTimeout = time.Second
 
 	metricsPath = "/metrics"
 
-	headerTime = 5 * time.Second
-	idleTime   = 60 * time.Second // above any idle time an operator sets
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 60 * time.Second // longer than the idle timeouts that operators set
 
-	// leaveSettle is how long a leaving instance still takes calls, for
-	// callers whose balancer has not noticed yet: it asks every second and
-	// needs two misses. Calls taken up to then have the rest of the grace
-	// period to end.
-	leaveSettle = 2500 * time.Millisecond
-	// leaveMargin is left of the grace period when the last streams are cut.
-	leaveMargin = 300 * time.Millisecond
+	// drainAcceptPeriod is how long a draining instance still accepts calls: the
+	// load balancer checks readiness every second and acts on the second failure.
+	drainAcceptPeriod = 2500 * time.Millisecond
+	// drainMargin is what is left of the grace period when open streams are closed.
+	drainMargin = 300 * time.Millisecond
 )
 
 // Instance is an entry instance. Make one with New.
 type Instance struct {
-	boot       platform.Boot
-	log        zerolog.Logger
-	store      *platform.Store
-	book       *desired.Book
-	targets    registry.Registry
-	recall     recall.Recall
-	handler    *ingress.Handler
-	peers      *exchange.Exchange
-	front      *http.Server
-	metrics    http.Handler
-	unreadable *platform.Unreadable
-	contact    discovery.RecoverySignal
-	relay      *relay.Server
-	budget     *budget.Budget
-	notes      notes
-	crashes    poison.Book
-	rollouts   rollout.Book
-	begun      clock.Time
-	bodies     *admit.Memory
-	targetsIn  atomic.Bool // the table of targets has been read
-	crashesIn  atomic.Bool // what instances tell each other of crashes has
+	boot          platform.Boot
+	log           zerolog.Logger
+	store         *platform.Store
+	desired       *desired.Book
+	targets       registry.Registry
+	recall        recall.Recall
+	handler       *ingress.Handler
+	peers         *exchange.Exchange
+	frontServer   *http.Server
+	metrics       http.Handler
+	unreadable    *platform.Unreadable
+	recovery      discovery.RecoverySignal
+	relay         *relay.Server
+	budget        *budget.Budget
+	locations     locationBuffer
+	crashes       poison.Book
+	rollouts      rollout.Book
+	startedAt     clock.Time
+	bodyMemory    *admit.Memory
+	targetsRead   atomic.Bool // the table of targets has been read
+	instancesRead atomic.Bool // the table of instances, with crash records, has been read
 }
 
 // New returns an instance with the platform's settings. metrics is served on
-// the metrics address.
+// the internal address; nil: not at all.
 func New(boot platform.Boot, log zerolog.Logger, scope tally.Scope, metrics http.Handler) *Instance {
 	if boot.Memory() > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(boot.Memory())))
+		debug.SetMemoryLimit(int64(heapFraction * float64(boot.Memory())))
 	}
-	b := boot.Bounds()
-	i := &Instance{begun: clock.Now(), boot: boot, log: log, store: platform.NewStore(boot.Store()), metrics: metrics, unreadable: platform.NewUnreadable(log, scope),
-		book: desired.NewBook(desired.Ages{Deny: share(denyShare, b.Config), Key: share(keyShare, b.Revoke)})}
-	i.bodies = admit.NewMemory(int64(bodyShare * float64(boot.Memory())))
+	bounds := boot.Bounds()
+	i := &Instance{startedAt: clock.Now(), boot: boot, log: log, store: platform.NewStore(boot.Store()), metrics: metrics, unreadable: platform.NewUnreadable(log, scope),
+		desired: desired.NewBook(desired.Ages{Deny: scale(denyAgeFraction, bounds.Config), Key: scale(keyAgeFraction, bounds.Revoke)})}
+	i.bodyMemory = admit.NewMemory(int64(bodyFraction * float64(boot.Memory())))
 	i.crashes.Log, i.crashes.Scope = log, scope
-	i.rollouts.Log, i.rollouts.Share = log, b.TrialShare
-	i.rollouts.Slack, i.rollouts.Instances = b.TrialSlack, i.instances
+	i.rollouts.Log, i.rollouts.Share = log, bounds.TrialShare
+	i.rollouts.Slack, i.rollouts.Instances = bounds.TrialSlack, i.instanceCount
 	i.rollouts.Self = rollout.Writer{Node: boot.Node(), Started: time.Now().UnixMilli()}
 	i.peers = exchange.New(boot.Node(), boot.Zone(), &i.targets, &i.recall, &i.crashes, log)
-	i.notes.recall = &i.recall
-	i.relay = &relay.Server{Tables: i.caches(), Leaving: i.leaving, Keep: i.notes.keep, Log: log}
-	i.budget = budget.New(budget.Limit{Ratio: b.BudgetRatio, Extra: b.BudgetExtra, Span: b.BudgetSpan}, i.peers.Entries)
+	i.locations.recall = &i.recall
+	i.relay = &relay.Server{Tables: i.caches(), Leaving: i.isDraining, Keep: i.locations.addFromPeer, Log: log}
+	i.budget = budget.New(budget.Limit{Ratio: bounds.BudgetRatio, Extra: bounds.BudgetExtra, Span: bounds.BudgetSpan}, i.peers.Entries)
 	borrower := &lend.Borrower{Zone: boot.Zone(), Peers: i.peers.Known, Budget: i.budget, Log: log}
-	i.handler = ingress.New(ingress.Config{Zone: boot.Zone(), Book: i.book, Targets: &i.targets, Recall: &i.recall, Budget: i.budget, Borrow: borrower.Borrow,
-		Sender: platform.Sender{}, Ready: i.Ready, Tell: i.peers.Tell, Crashes: &i.crashes, Rollouts: &i.rollouts, Claim: i.claimTrial, Log: log, Scope: scope})
+	i.handler = ingress.New(ingress.Config{Zone: boot.Zone(), Book: i.desired, Targets: &i.targets, Recall: &i.recall, Budget: i.budget, Borrow: borrower.Borrow,
+		Sender: platform.Sender{}, Ready: i.Ready, Tell: i.peers.Tell, Crashes: &i.crashes, Rollouts: &i.rollouts, Claim: i.claimProbe, Log: log, Scope: scope})
 	return i
 }
 
-func share(part float64, d time.Duration) time.Duration { return time.Duration(part * float64(d)) }
+func scale(fraction float64, d time.Duration) time.Duration {
+	return time.Duration(fraction * float64(d))
+}
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether the load balancer should send calls to this instance.
 func (i *Instance) Ready() bool {
-	age, ok := i.book.Age(clock.Now())
-	return ok && age <= share(readyShare, i.boot.Bounds().Revoke) && i.targetsIn.Load() && i.crashesIn.Load() && !i.handler.Leaving()
+	age, ok := i.desired.Age(clock.Now())
+	return ok && age <= scale(readyAgeFraction, i.boot.Bounds().Revoke) && i.targetsRead.Load() && i.instancesRead.Load() && !i.handler.Leaving()
 }
 
-// Run serves until ctx ends, and then until the calls in progress have ended
-// or the grace period is nearly over.
+// Run serves until ctx ends, then drains: it returns when the calls in progress
+// have ended or the grace period is nearly over.
 func (i *Instance) Run(ctx context.Context) error {
 	front, err := listen("front", i.boot.Front())
 	if err != nil {
@@ -141,21 +140,21 @@
 		front.Close()
 		return err
 	}
-	life, stop := context.WithCancel(context.Background())
+	lifetime, stop := context.WithCancel(context.Background())
 	defer stop()
-	p := pool.New().WithContext(life).WithCancelOnError()
-	i.follow(p)
-	p.Go(i.keepPlaces)
-	p.Go(i.keepCrashes)
-	p.Go(i.keepRollouts)
-	i.front = i.serve(p, front, &platform.Front{Handler: i.handler, Limits: i.limits, Memory: i.bodies, Log: i.log})
+	p := pool.New().WithContext(lifetime).WithCancelOnError()
+	i.followTables(p)
+	p.Go(i.persistLocations)
+	p.Go(i.persistCrashes)
+	p.Go(i.runRollouts)
+	i.frontServer = i.serve(p, front, &platform.Front{Handler: i.handler, Limits: i.limits, Memory: i.bodyMemory, Log: i.log})
 	i.serve(p, ready, platform.Ready(i.Ready))
 	i.serveInternal(p)
-	p.Go(func(life context.Context) error {
+	p.Go(func(lifetime context.Context) error {
 		select {
-		case <-life.Done():
+		case <-lifetime.Done():
 		case <-ctx.Done():
-			i.leave(life)
+			i.drain(lifetime)
 			stop()
 		}
 		return nil
@@ -168,17 +167,16 @@
 	return nil
 }
 
-// listen opens the port for one of the instance's audiences.
-func listen(what, addr string) (net.Listener, error) {
+func listen(audience, addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, oops.In("instance").With("audience", what, "address", addr).Wrapf(err, "listen for %s", what)
+		return nil, oops.In("instance").With("audience", audience, "address", addr).Wrapf(err, "listen for %s", audience)
 	}
 	return ln, nil
 }
 
 func (i *Instance) limits() ragworthitch.Limits {
-	if d := i.book.State(); d != nil {
+	if d := i.desired.State(); d != nil {
 		return d.Limits()
 	}
 	return ragworthitch.Limits{}
@@ -186,7 +184,7 @@
 
 // serve runs an HTTP server on ln until the group stops.
 func (i *Instance) serve(p *pool.ContextPool, ln net.Listener, h http.Handler) *http.Server {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	p.Go(func(context.Context) error {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			return err
@@ -200,14 +198,14 @@
 	return srv
 }
 
-// serveInternal serves the metrics and takes other instances' views.
+// serveInternal serves metrics and connections of peers.
 func (i *Instance) serveInternal(p *pool.ContextPool) {
 	if i.boot.Internal() == "" {
 		return
 	}
 	ln, err := listen("other instances", i.boot.Internal())
 	if err != nil {
-		i.log.Warn().Err(err).Msg("instance: no internal address; neither metrics nor views are served")
+		i.log.Warn().Err(err).Msg("instance: cannot listen on the internal address; metrics and peers are not served")
 		return
 	}
 	r := httprouter.New()
@@ -222,37 +220,37 @@
 	p.Go(i.announce)
 }
 
-// announce writes this instance's entry.
+// announce writes this instance's entry to the store.
 func (i *Instance) announce(ctx context.Context) error {
-	me := exchange.Peer{Node: i.boot.Node(), Zone: i.boot.Zone(), Addr: i.boot.Internal()}
+	self := exchange.Peer{Node: i.boot.Node(), Zone: i.boot.Zone(), Addr: i.boot.Internal()}
 	for ctx.Err() == nil {
-		actx, cancel := context.WithTimeout(ctx, announceTime)
-		err := platform.Announce(actx, i.store, me)
+		writeCtx, cancel := context.WithTimeout(ctx, announceTimeout)
+		err := platform.Announce(writeCtx, i.store, self)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		i.log.Warn().Err(err).Msg("instance: entry not written; tried again")
-		clock.Sleep(ctx, announceTime)
+		i.log.Warn().Err(err).Msg("instance: own entry not written; will retry")
+		clock.Sleep(ctx, announceTimeout)
 	}
 	return nil
 }
 
-// leave lets the calls in progress end: new callers are turned to other
-// instances, and streams that last longer than the grace period are cut in
-// time for their callers to go on elsewhere.
-func (i *Instance) leave(life context.Context) {
-	begun := clock.Now()
+// drain stops accepting calls after drainAcceptPeriod and waits for those in progress.
+// Streams that would outlast the grace period are closed before its end, so that their
+// callers can resume at other instances.
+func (i *Instance) drain(lifetime context.Context) {
+	start := clock.Now()
 	grace := i.boot.Bounds().Grace
-	i.handler.Leave(begun.Add(grace - leaveMargin))
-	i.log.Info().Int("active", i.handler.Active()).Dur("grace", grace).Msg("instance: leaving")
-	if !clock.Sleep(life, leaveSettle) {
+	i.handler.Leave(start.Add(grace - drainMargin))
+	i.log.Info().Int("active", i.handler.Active()).Dur("grace", grace).Msg("instance: draining")
+	if !clock.Sleep(lifetime, drainAcceptPeriod) {
 		return
 	}
-	// From here on no call is taken: idle connections are closed, and those
-	// in use as soon as their call has ended.
-	ctx, cancel := context.WithTimeout(life, grace-leaveMargin-leaveSettle)
+	// Shutdown accepts no more calls; it closes idle connections now and the others
+	// when their call ends.
+	ctx, cancel := context.WithTimeout(lifetime, grace-drainMargin-drainAcceptPeriod)
 	defer cancel()
-	err := i.front.Shutdown(ctx)
-	i.log.Info().Int("active", i.handler.Active()).Dur("after", clock.Now().Sub(begun)).AnErr("cut", err).Msg("instance: left")
+	err := i.frontServer.Shutdown(ctx)
+	i.log.Info().Int("active", i.handler.Active()).Dur("after", clock.Now().Sub(start)).AnErr("cut", err).Msg("instance: drain ended")
 }
--- a/instance/rollouts.go
+++ b/instance/rollouts.go
@@ -12,81 +12,83 @@
 )
 
 const (
-	// rolloutEvery is the time between two looks at the evidence of roll-outs.
-	rolloutEvery = 200 * time.Millisecond
-	// rolloutTime bounds a try to write what is known of a roll-out: a slow store
-	// takes about a second.
-	rolloutTime = 1500 * time.Millisecond
-	// knownFor is how old the number of instances may be, and how long ago this one
-	// started at least, for its part of what all may spend together.
-	knownFor = 10 * time.Second
+	rolloutInterval = 200 * time.Millisecond
+	// rolloutWriteTimeout is longer than a slow store's latency of about a second.
+	rolloutWriteTimeout = 1500 * time.Millisecond
+	// instanceCountWindow is the maximum age of the number of instances, and the
+	// minimum age of this instance, for the number to be used to divide limits that
+	// all instances share.
+	instanceCountWindow = 10 * time.Second
 )
 
-// rolloutStore is the store as roll-outs need it.
+// rolloutStore adapts a platform.RolloutKeeper to a rollout.Store.
 type rolloutStore struct{ keeper platform.RolloutKeeper }
 
-// Change writes a status.
+// Change writes a status. If another instance has changed it, the error wraps
+// rollout.ErrTaken.
 func (s rolloutStore) Change(ctx context.Context, c rollout.Change) (rollout.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, rolloutTime)
+	ctx, cancel := context.WithTimeout(ctx, rolloutWriteTimeout)
 	defer cancel()
-	st, err := s.keeper.Change(ctx, c)
+	status, err := s.keeper.Change(ctx, c)
 	if errors.Is(err, platform.ErrConflict) {
 		err = errors.Join(rollout.ErrTaken, err)
 	}
-	return st, err
+	return status, err
 }
 
 // Tell writes evidence.
 func (s rolloutStore) Tell(ctx context.Context, e rollout.Evidence) error {
-	ctx, cancel := context.WithTimeout(ctx, rolloutTime)
+	ctx, cancel := context.WithTimeout(ctx, rolloutWriteTimeout)
 	defer cancel()
 	return s.keeper.Tell(ctx, e)
 }
 
-// keepRollouts writes what this instance decides of roll-outs, and what it has seen.
-func (i *Instance) keepRollouts(ctx context.Context) error {
-	k := rollout.Keeper{Book: &i.rollouts, Store: rolloutStore{platform.RolloutKeeper{Store: i.store}}, Turn: i.turn, See: i.sight, Log: i.log}
-	for clock.Sleep(ctx, rolloutEvery) {
-		k.Step(ctx, clock.Now(), i.store.Now())
+// runRollouts writes this instance's decisions on roll-outs and its evidence to the
+// store.
+func (i *Instance) runRollouts(ctx context.Context) error {
+	keeper := rollout.Keeper{Book: &i.rollouts, Store: rolloutStore{platform.RolloutKeeper{Store: i.store}}, Turn: i.decisionDelay, See: i.countTargets, Log: i.log}
+	for clock.Sleep(ctx, rolloutInterval) {
+		keeper.Step(ctx, clock.Now(), i.store.Now())
 	}
 	return nil
 }
 
-// sight looks at a service's targets.
-func (i *Instance) sight(service, version string) rollout.Sight {
-	var out rollout.Sight
+// countTargets counts a service's targets and their load by version: New is the given
+// version, Old is any other.
+func (i *Instance) countTargets(service, version string) rollout.Sight {
+	var targets rollout.Sight
 	now := clock.Now()
-	for _, m := range i.targets.Service(service) {
-		work := m.Work().All().Running
-		if m.Target().Version() != version {
-			out.Old, out.OldWork = out.Old+1, out.OldWork+work
+	for _, member := range i.targets.Service(service) {
+		load := member.Work().All().Running
+		if member.Target().Version() != version {
+			targets.Old, targets.OldWork = targets.Old+1, targets.OldWork+load
 			continue
 		}
-		out.New, out.NewWork = out.New+1, out.NewWork+work
-		if m.Takes(now) {
-			out.NewReady++
+		targets.New, targets.NewWork = targets.New+1, targets.NewWork+load
+		if member.Takes(now) {
+			targets.NewReady++
 		}
 	}
-	return out
+	return targets
 }
 
-// turn is how long this instance leaves a decision on a service to others: they come one
-// after the other, in an order that all find by hashing.
-func (i *Instance) turn(service string) time.Duration {
+// decisionDelay returns how long this instance waits for others to decide on a
+// service's roll-out. Instances take turns in the order of rendezvous hashing.
+func (i *Instance) decisionDelay(service string) time.Duration {
 	key := route.Key(service)
-	own, before := route.Affinity(key, i.boot.Node()), 0
+	own, ahead := route.Affinity(key, i.boot.Node()), 0
 	for _, p := range i.peers.Known() {
 		if route.Affinity(key, p.Node) > own {
-			before++
+			ahead++
 		}
 	}
-	return min(time.Duration(before)*rollout.TurnGap, rollout.MaxTurn)
+	return min(time.Duration(ahead)*rollout.TurnGap, rollout.MaxTurn)
 }
 
-// instances is how many instances there are, if that is known for sure and this one has
-// been among them for a while.
-func (i *Instance) instances() (int, bool) {
-	n, at, ok := i.peers.Entries()
+// instanceCount returns the number of instances. The second result is false if the number
+// is stale or this instance has only just started.
+func (i *Instance) instanceCount() (int, bool) {
+	count, asOf, ok := i.peers.Entries()
 	now := clock.Now()
-	return n, ok && now.Sub(at) < knownFor && now.Sub(i.begun) > knownFor
+	return count, ok && now.Sub(asOf) < instanceCountWindow && now.Sub(i.startedAt) > instanceCountWindow
 }
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -18,7 +18,7 @@
     "copies": ("ingress/stream.go", "e == nil || !e.Backups ||", "e == nil || e != nil ||"),
     "homes": ("route/engine.go", "homeGain = 0.4", "homeGain = 0.0"),
     "recall": ("recall/recall.go", "if !ok || now.Sub(m.at) > keep {", "if true || !ok || now.Sub(m.at) > keep {"),
-    "places in the store": ("instance/places.go", "for clock.Sleep(ctx, savePlaces) {", "for false && clock.Sleep(ctx, savePlaces) {"),
+    "places in the store": ("instance/locations.go", "for clock.Sleep(ctx, i.locations.saveDelay(clock.Now())) {", "for false && clock.Sleep(ctx, i.locations.saveDelay(clock.Now())) {"),
     "views": ("exchange/exchange.go", "func (e *Exchange) take(v wire.View) {", "func (e *Exchange) take(v wire.View) {\n\tv = wire.View{}"),
     "zone trouble": ("route/engine.go", "zoneTroubleCost = 6", "zoneTroubleCost = 0"),
     "lossy ways": ("ingress/silence.go", "if !r.s.h.links.Stalled(zone, at) {", "if true || !r.s.h.links.Stalled(zone, at) {"),
--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -21,11 +21,11 @@
     "an older state is in force now and then": ("REVERTED", "desired/book.go", "	t := b.cur.Load()\n	g :=", "	t := b.cur.Load()\n	if p := b.old.Load(); p != nil && now%5 == 0 {\n		t = p\n	}\n	g :=",
         "desired/book.go", "cur   atomic.Pointer[table]", "cur, old atomic.Pointer[table]", "desired/book.go", "	b.cur.Store(compile(d))", "	b.old.Store(b.cur.Load())\n	b.cur.Store(compile(d))"),
     "targets that leave get work": ("DRAIN", "registry/registry.go", "!m.target.Draining() && ", ""),
-    "calls are cut at the end": ("LOST", "instance/instance.go", "	if !clock.Sleep(life, leaveSettle) {", "	if i != nil {"),
+    "calls are cut at the end": ("LOST", "instance/instance.go", "	if !clock.Sleep(lifetime, drainAcceptPeriod) {", "	if i != nil {"),
     "another target's address": ("UNASKED", "platform/order.go", "	set(headExpect, o.Target.ID())\n", ""),
     "the key is passed on": ("UNASKED", "platform/names.go", "var ours = []string{headKey, ", "var ours = []string{"),
     "no end in time": ("FINAL", "ingress/handler.go", "	ctx, cancel := context.WithTimeout(ctx, limit)", "	ctx, cancel := context.WithTimeout(ctx, limit+time.Minute)"),
-    "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashKeeper{Store: i.store}.Make(mctx, edits[:n])", "	err := mctx.Err()"),
+    "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashKeeper{Store: i.store}.Make(writeCtx, edits[:n])", "	err := writeCtx.Err()"),
     "a bystander is condemned": ("BYSTANDER", "poison/book.go", "		guilty := !b.Dry && own >= enough && b.wellOf(s.suspect, now) <= ranWellShare*len(s.deaths)", "		guilty := own > 0"),
     "a panic ends the process": ("ALIVE", "health/health.go", "	if s.gone != nil {\n		close(s.gone)\n		s.gone = nil\n	}\n", "	panic(s)\n"),
 }
