--- a/settings/check.go
+++ b/settings/check.go
@@ -10,10 +10,10 @@
 	"github.com/goccy/go-yaml"
 )
 
-// check validates references between parts of the file. Errors name the key
-// by its YAML path and line.
+// check validates values and the references between parts of the file. Errors
+// name the YAML path and line.
 func (f *File) check(src []byte) error {
-	c := checker{src: src}
+	c := validator{src: src}
 	if f.Deployment == "" {
 		c.fail("$.deployment", "missing deployment name")
 	}
@@ -64,7 +64,7 @@
 	}
 	names := map[string]bool{}
 	addrs := map[string]string{f.Platform.Listen: "$.platform.listen"}
-	unique := func(p, name, addr string) {
+	checkUnique := func(p, name, addr string) {
 		if names[name] {
 			c.fail(p+".name", fmt.Sprintf("name %q used twice", name))
 		}
@@ -84,7 +84,7 @@
 		}
 		c.zone(p+".zone", e.Zone, f.Zones)
 		c.addr(p+".listen", e.Listen)
-		unique(p, e.Name, e.Listen)
+		checkUnique(p, e.Name, e.Listen)
 	}
 	for i, t := range f.Targets {
 		p := fmt.Sprintf("$.targets[%d]", i)
@@ -97,7 +97,7 @@
 		c.zone(p+".zone", t.Zone, f.Zones)
 		c.addr(p+".listen", t.Listen)
 		c.addr(p+".agent", t.Agent)
-		unique(p, t.Name, t.Listen)
+		checkUnique(p, t.Name, t.Listen)
 		if prev, ok := addrs[t.Agent]; ok && t.Agent != "" {
 			c.fail(p+".agent", fmt.Sprintf("address %s already used at %s", t.Agent, prev))
 		}
@@ -119,17 +119,17 @@
 	return c.err()
 }
 
-type checker struct {
+type validator struct {
 	src  []byte
 	errs []string
 }
 
-func (c *checker) fail(path, msg string) {
+func (c *validator) fail(path, msg string) {
 	c.errs = append(c.errs, fmt.Sprintf("%s%s: %s", strings.TrimPrefix(path, "$."), c.line(path), msg))
 }
 
-// line finds the line of a YAML path, or of its nearest parent that exists.
-func (c *checker) line(path string) string {
+// line returns the line of a YAML path, or of its nearest parent that exists.
+func (c *validator) line(path string) string {
 	for p := path; p != "$" && p != ""; {
 		yp, err := yaml.PathString(p)
 		if err == nil {
@@ -146,17 +146,17 @@
 	return ""
 }
 
-func (c *checker) addr(path, a string) {
-	if a == "" {
+func (c *validator) addr(path, addr string) {
+	if addr == "" {
 		c.fail(path, "missing address")
 		return
 	}
-	if _, _, err := net.SplitHostPort(a); err != nil {
-		c.fail(path, fmt.Sprintf("address %q is not host:port", a))
+	if _, _, err := net.SplitHostPort(addr); err != nil {
+		c.fail(path, fmt.Sprintf("address %q is not host:port", addr))
 	}
 }
 
-func (c *checker) zone(path, z string, zones []string) {
+func (c *validator) zone(path, z string, zones []string) {
 	if z == "" {
 		c.fail(path, "missing zone")
 		return
@@ -166,7 +166,7 @@
 	}
 }
 
-func (c *checker) err() error {
+func (c *validator) err() error {
 	if len(c.errs) == 0 {
 		return nil
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -2,13 +2,13 @@
 // zones, models, organisations, the platform's address, the entry instances
 // and the targets with the agent beside each.
 //
-// Every process of a deployment reads the same file and finds its own
-// addresses and zone in it by name. A file is checked whole before anything
-// starts: an unknown key, a missing address, a zone not in the deployment or
-// a negative timeout is refused with an error that names the key and line.
+// All processes of a deployment read the same file and look up their own
+// addresses and zone by name. The whole file is validated first: an unknown
+// key, a missing address, a zone not in the deployment or a negative timeout
+// is an error that names the key and its line.
 //
-// Values of the form ${NAME} are taken from the environment before parsing,
-// so a test can hand out free ports.
+// References of the form ${NAME} are replaced by environment variables before
+// parsing, so that tests can assign free ports.
 package settings
 
 import (
@@ -37,7 +37,7 @@
 )
 
 var (
-	// ErrInvalid is wrapped by every error about the content of a file.
+	// ErrInvalid is wrapped by all errors about the content of a file.
 	ErrInvalid = errors.New("invalid settings")
 	// ErrNotFound is returned when a name is not in the deployment.
 	ErrNotFound = errors.New("not in the deployment")
@@ -49,7 +49,7 @@
 )
 
 type (
-	// File is a whole deployment as written in YAML.
+	// File is the settings file of a deployment.
 	File struct {
 		Deployment string   `yaml:"deployment"`
 		Zones      []string `yaml:"zones"`
@@ -80,7 +80,7 @@
 		DrainMs     int `yaml:"drainMs"`
 	}
 
-	// Engine sets how the stand-in engines behave.
+	// Engine configures the emulated engines.
 	Engine struct {
 		StepMs      int `yaml:"stepMs"`
 		Batch       int `yaml:"batch"`
@@ -88,7 +88,7 @@
 		LoadLagMs   int `yaml:"loadLagMs"`
 	}
 
-	// Model is a model name and the versions served.
+	// Model is a model with the versions that are served.
 	Model struct {
 		Name     string   `yaml:"name"`
 		Versions []string `yaml:"versions"`
@@ -101,14 +101,14 @@
 		Large  bool     `yaml:"large"`
 	}
 
-	// Entry is one entry instance.
+	// Entry is an entry instance.
 	Entry struct {
 		Name   string `yaml:"name"`
 		Zone   string `yaml:"zone"`
 		Listen string `yaml:"listen"`
 	}
 
-	// Target is a model engine or plain service with its agent.
+	// Target is a model engine or a plain service, with the address of its agent.
 	Target struct {
 		Name    string   `yaml:"name"`
 		Kind    string   `yaml:"kind"`
@@ -119,7 +119,7 @@
 		Fencing string   `yaml:"fencing"`
 	}
 
-	// Log sets the log output.
+	// Log configures the log output.
 	Log struct {
 		Level string `yaml:"level"`
 	}
@@ -142,12 +142,12 @@
 
 // Names lists the embedded deployments.
 func Names() []string {
-	ents, _ := defaults.ReadDir("defaults")
-	var n []string
-	for _, e := range ents {
-		n = append(n, strings.TrimSuffix(e.Name(), ".yaml"))
+	entries, _ := defaults.ReadDir("defaults")
+	var names []string
+	for _, e := range entries {
+		names = append(names, strings.TrimSuffix(e.Name(), ".yaml"))
 	}
-	return n
+	return names
 }
 
 // Load reads settings from a file path, or from an embedded deployment when
@@ -184,13 +184,12 @@
 	return &f, nil
 }
 
-// unmarshal decodes strictly. The YAML library panics on some malformed
-// input (found by FuzzParse: "zones: !00 " after a broken key); that is
-// bad input, and gets an error like any other.
+// unmarshal decodes strictly. It turns panics of the YAML library on malformed
+// input into errors.
 func unmarshal(b []byte, f *File) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("settings: %w: the YAML could not be parsed: %v", ErrInvalid, r)
+			err = fmt.Errorf("settings: %w: invalid YAML: %v", ErrInvalid, r)
 		}
 	}()
 	if err := yaml.UnmarshalWithOptions(b, f, yaml.Strict()); err != nil {
@@ -236,15 +235,14 @@
 	}
 }
 
-// setDefault sets an unset (zero) value; negative values are left for check
-// to refuse.
+// setDefault replaces zero only; check rejects negative values.
 func setDefault(v *int, d int) {
 	if *v == 0 {
 		*v = d
 	}
 }
 
-// Entry finds an entry by name.
+// Entry returns the entry instance of a name.
 func (f *File) Entry(name string) (Entry, error) {
 	for _, e := range f.Entries {
 		if e.Name == name {
@@ -254,7 +252,7 @@
 	return Entry{}, fmt.Errorf("settings: entry %q: %w", name, ErrNotFound)
 }
 
-// Target finds a target by name.
+// Target returns the target of a name.
 func (f *File) Target(name string) (Target, error) {
 	for _, t := range f.Targets {
 		if t.Name == name {
@@ -264,8 +262,8 @@
 	return Target{}, fmt.Errorf("settings: target %q: %w", name, ErrNotFound)
 }
 
-// OrgAllows reports whether org may use model; an empty model asks only
-// whether the organisation exists.
+// OrgAllows reports whether org may use model, or, if model is empty, whether
+// org exists.
 func (f *File) OrgAllows(org, model string) bool {
 	for _, o := range f.Orgs {
 		if o.Name == org {
@@ -275,10 +273,10 @@
 	return false
 }
 
-// HasModel reports whether a model is in the deployment.
+// HasModel reports whether the deployment has a model.
 func (f *File) HasModel(model string) bool {
 	return slices.ContainsFunc(f.Models, func(m Model) bool { return m.Name == model })
 }
 
-// Ms turns a millisecond setting into a duration.
+// Ms converts milliseconds to a duration.
 func Ms(v int) time.Duration { return time.Duration(v) * time.Millisecond }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalid(t *testing.T) {
 	good, err := DefaultBytes("rimac")
 	require.NoError(t, err)
 	tests := []struct {
@@ -47,8 +47,7 @@
 	return s[:i] + to + s[i+len(from):]
 }
 
-// FuzzParse feeds arbitrary bytes to Parse: it must refuse with ErrInvalid
-// or accept, never panic.
+// Parse doesn't panic on any input, and its errors wrap ErrInvalid.
 func FuzzParse(f *testing.F) {
 	good, _ := DefaultBytes("rimac")
 	f.Add(good)
