--- a/relay/asker.go
+++ b/relay/asker.go
@@ -16,90 +16,90 @@
 )
 
 const (
-	// answerTime is how long an answer may take beyond the wait that was asked
-	// for, a new connection and the reading of a table included. With the wait
-	// for a desired state, 0.8 s, and one more candidate that does not answer,
-	// knowledge is 2.4 s old when the store is asked.
-	answerTime = 400 * time.Millisecond
-	// askAgain is how old knowledge may be, in waits, for another instance to be asked
-	// after one that did not answer, which takes 0.8 s with the reading of the table:
-	// older, and the store is asked itself.
-	askAgain = 3
-	// spread is over how long the instances of a zone turn elsewhere, for each
-	// of them, when the one that they asked does not answer: 500 calls a second
-	// for a zone at the most.
-	spread = 2 * time.Millisecond
+	// answerTimeout is how long an answer may take beyond the requested wait. It
+	// includes a new connection and a first read of the table by the peer.
+	answerTimeout = 400 * time.Millisecond
+	// maxPeerRetryAge is the age of the table, in units of the cache's longest
+	// wait, up to which a failed question is followed by a question to another
+	// peer. With an older table the instance reads from the store.
+	maxPeerRetryAge = 3
+	// retryJitterPerPeer, times the number of instances in the zone, is the longest
+	// random delay before the next read after a failed question. The delay keeps
+	// the instances of a zone from reading all at once.
+	retryJitterPerPeer = 2 * time.Millisecond
 )
 
 var (
-	errLarge   = errors.New("relay: too much to be told; read from the store")
-	errBehind  = errors.New("relay: instance asked does not know the table well enough")
-	errNobody  = errors.New("relay: nobody to ask")
-	errReads   = errors.New("relay: others ask for the table here")
-	errUnknown = errors.New("relay: value of the row is not readable")
+	errAnswerTooLarge = errors.New("relay: answer exceeds the size limit; table has to be read from the store")
+	errPeerStale      = errors.New("relay: peer does not hold a current table")
+	errNoPeer         = errors.New("relay: no peer to ask")
+	errServesPeers    = errors.New("relay: peers have begun to ask this instance for the table")
+	errUnreadableRow  = errors.New("relay: row value cannot be decoded")
 )
 
 type (
-	// Conn asks one instance.
+	// Conn is a connection to a peer that answers questions.
 	Conn interface {
 		Ask(ctx context.Context, q wire.Question) (wire.Answer, error)
 		CloseNow() error
 	}
 
-	// Notes are what an instance has noted for whoever reads the store for it.
+	// Notes holds cache locations that an instance sends to the peer which it
+	// asks. The peer writes them to the store.
 	Notes interface {
-		// Fresh are the notes that nobody has taken, and how many there have been.
+		// Fresh returns the notes that no peer has received, and the number of
+		// all notes so far.
 		Fresh() ([]wire.Place, uint64)
-		// Taken notes that they have been taken up to so many.
+		// Taken records that a peer has received the first n notes.
 		Taken(n uint64)
 	}
 
-	// Asker reads a table by asking other instances; it is a platform.Reader.
-	// Its calls end by themselves, and its methods are not for concurrent use.
+	// Asker reads a table by asking peers. It is a platform.Reader whose calls
+	// have a timeout of their own. Its methods are not safe for concurrent use.
 	Asker struct {
 		Table  string
-		Proof  bool // for the age of the table, not only its changes
+		Proof  bool // ask for the table's age, too, not only for its changes
 		Choice *Choice
-		Cache  *Cache // of the same table, for those who ask this instance
+		Cache  *Cache // of the same table, for peers that ask this instance
 		Dial   func(ctx context.Context, addr string) (Conn, error)
-		// Notes are told along with the questions; nil: there are none.
+		// Notes are sent along with the questions; nil: none.
 		Notes Notes
 		Log   zerolog.Logger
 
-		conn   Conn
-		peer   exchange.Peer // at the other end of conn
-		direct bool          // the table was last read from the store
-		failed bool          // the last question was not answered
-		store  bool          // the next call goes to the store, whoever could be asked
-		proved clock.Time    // up to when the last answer was complete
+		conn       Conn
+		peer       exchange.Peer // that conn leads to
+		readsStore bool          // the table was last read from the store
+		lastFailed bool          // the last question failed
+		forceStore bool          // the next read goes to the store
+		asOf       clock.Time    // time up to which the last answer was complete
 	}
 )
 
-// Use reports whether to ask another instance next: there is one to ask, and
-// nobody asks this one.
+// Use reports whether the next read asks a peer. It does if there is a peer to
+// ask and no peer asks this instance.
 func (a *Asker) Use() bool {
 	now := clock.Now()
-	asked, _ := a.Cache.Asked(now)
+	servesPeers, _ := a.Cache.ServesPeers(now)
 	_, ok := a.Choice.Next(now)
-	use := ok && !asked && !a.store
-	a.store = false
+	use := ok && !servesPeers && !a.forceStore
+	a.forceStore = false
 	if use {
-		a.Cache.Drop()
-	} else if !a.direct {
-		a.direct = true
-		a.Log.Info().Str("table", a.Table).Bool("asked", asked).Bool("othersKnown", ok).Msg("relay: table read from the store")
+		a.Cache.Clear()
+	} else if !a.readsStore {
+		a.readsStore = true
+		a.Log.Info().Str("table", a.Table).Bool("asked", servesPeers).Bool("othersKnown", ok).Msg("relay: reading the table from the store")
 	}
 	return use
 }
 
-// Whole asks for the whole table; the range is the asked instance's.
+// Whole asks for the whole table, in the range that the peer reads.
 func (a *Asker) Whole(ctx context.Context, _ platform.Range) (platform.Page, error) {
-	return a.ask(ctx, wire.Question{Table: a.Table, Whole: true, Proof: a.Proof})
+	return a.askNext(ctx, wire.Question{Table: a.Table, Whole: true, Proof: a.Proof})
 }
 
-// Changes asks for changed rows.
+// Changes asks for rows that changed after a version.
 func (a *Asker) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (platform.Page, error) {
-	return a.ask(ctx, wire.Question{Table: a.Table, After: after, Wait: min(wait, a.Cache.wait), Proof: a.Proof})
+	return a.askNext(ctx, wire.Question{Table: a.Table, After: after, Wait: min(wait, a.Cache.maxWait), Proof: a.Proof})
 }
 
 // Drop closes the connection.
@@ -110,61 +110,61 @@
 	}
 }
 
-// ask asks the next instance, and notes if it does not answer. It gives up when
-// others ask this instance: it then has to read for them.
-func (a *Asker) ask(life context.Context, q wire.Question) (platform.Page, error) {
+// askNext asks the next peer and records whether it answers. It stops when peers
+// begin to ask this instance, which then has to read from the store for them.
+func (a *Asker) askNext(life context.Context, q wire.Question) (platform.Page, error) {
 	now := clock.Now()
 	p, ok := a.Choice.Next(now)
-	asked, begins := a.Cache.Asked(now)
-	if !ok || asked {
-		return platform.Page{}, errNobody
+	servesPeers, questioned := a.Cache.ServesPeers(now)
+	if !ok || servesPeers {
+		return platform.Page{}, errNoPeer
 	}
-	if a.failed {
-		q.Wait = 0 // knowledge has grown old by now
+	if a.lastFailed {
+		q.Wait = 0 // the table is already older than usual
 	}
-	ctx, cancel := context.WithTimeout(life, q.Wait+answerTime)
+	ctx, cancel := context.WithTimeout(life, q.Wait+answerTimeout)
 	defer cancel()
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	go func() {
 		select {
-		case <-begins:
-			stop(errReads)
+		case <-questioned:
+			stop(errServesPeers)
 		case <-ctx.Done():
 		}
 	}()
-	page, err := a.from(ctx, p, q)
-	a.failed = err != nil
+	page, err := a.askPeer(ctx, p, q)
+	a.lastFailed = err != nil
 	switch {
 	case err == nil:
-		a.Choice.Served(p.Node)
-		a.proved = page.Proved
+		a.Choice.NoteSuccess(p.Node)
+		a.asOf = page.Proved
 		return page, nil
 	case errors.Is(err, discovery.ErrMissed):
 		return page, err
-	case errors.Is(err, errLarge):
-		a.store = true // it is too much to be told
+	case errors.Is(err, errAnswerTooLarge):
+		a.forceStore = true
 		return page, err
-	case errors.Is(context.Cause(ctx), errReads):
+	case errors.Is(context.Cause(ctx), errServesPeers):
 		a.Drop()
-		return page, errReads
+		return page, errServesPeers
 	}
-	if errors.Is(err, errBehind) {
-		a.Choice.Behind(p.Node, clock.Now())
+	if errors.Is(err, errPeerStale) {
+		a.Choice.NoteStale(p.Node, clock.Now())
 	} else {
 		a.Drop()
-		a.Choice.Failed(p.Node, clock.Now())
-		// The next one may not answer either, or have to read the table first.
-		a.store = clock.Now().Sub(a.proved) > askAgain*a.Cache.wait
+		a.Choice.NoteFailure(p.Node, clock.Now())
+		// The next peer may fail, too, or has to read the table first.
+		a.forceStore = clock.Now().Sub(a.asOf) > maxPeerRetryAge*a.Cache.maxWait
 	}
 	a.Log.Warn().Str("table", a.Table).Str("peer", p.Node).Int64("version", q.After).Dur("after", clock.Now().Sub(now)).Err(err).
-		Msg("relay: instance not asked for a while")
-	clock.Sleep(life, rand.N(time.Duration(a.Choice.Size())*spread))
+		Msg("relay: question failed; backing off from the peer")
+	clock.Sleep(life, rand.N(time.Duration(a.Choice.ZoneSize())*retryJitterPerPeer))
 	return page, err
 }
 
-// from asks an instance on the connection to it.
-func (a *Asker) from(ctx context.Context, p exchange.Peer, q wire.Question) (platform.Page, error) {
+// askPeer asks p, and connects to p first if need be.
+func (a *Asker) askPeer(ctx context.Context, p exchange.Peer, q wire.Question) (platform.Page, error) {
 	if a.conn != nil && a.peer != p {
 		a.Drop()
 	}
@@ -175,45 +175,46 @@
 		}
 		a.conn, a.peer = conn, p
 	}
-	if a.direct {
-		a.direct = false
-		a.Log.Info().Str("table", a.Table).Str("peer", p.Node).Msg("relay: table asked of another instance")
+	if a.readsStore {
+		a.readsStore = false
+		a.Log.Info().Str("table", a.Table).Str("peer", p.Node).Msg("relay: reading the table from a peer")
 	}
-	var notes uint64
+	var noteCount uint64
 	if a.Notes != nil {
-		q.Places, notes = a.Notes.Fresh()
+		q.Places, noteCount = a.Notes.Fresh()
 	}
-	asked := clock.Now()
+	askedAt := clock.Now()
 	answer, err := a.conn.Ask(ctx, q)
 	if err != nil {
 		return platform.Page{}, err
 	}
 	if answer.State == wire.AnswerBehind {
-		return platform.Page{}, errBehind
+		return platform.Page{}, errPeerStale
 	}
 	if a.Notes != nil {
-		a.Notes.Taken(notes)
+		a.Notes.Taken(noteCount)
 	}
 	switch answer.State {
 	case wire.AnswerMissed:
 		return platform.Page{}, discovery.ErrMissed
 	case wire.AnswerLarge:
-		return platform.Page{}, errLarge
+		return platform.Page{}, errAnswerTooLarge
 	}
-	return a.page(answer, asked), nil
+	return a.pageOf(answer, askedAt), nil
 }
 
-// page is what an answer says to a question that was asked at a moment. The
-// instance counted from when it received the question, which was not before.
-func (a *Asker) page(answer wire.Answer, asked clock.Time) platform.Page {
-	p := platform.Page{Version: answer.Version, Relayed: true, Proved: asked.Add(answer.Proved)}
+// pageOf converts the answer to a question that was sent at askedAt. The peer
+// counts times from the receipt of the question, so that counting them from
+// askedAt never makes the table look younger than it is.
+func (a *Asker) pageOf(answer wire.Answer, askedAt clock.Time) platform.Page {
+	p := platform.Page{Version: answer.Version, Relayed: true, Proved: askedAt.Add(answer.Proved)}
 	if answer.Away != 0 {
-		p.Away = asked.Add(answer.Away)
+		p.Away = askedAt.Add(answer.Away)
 	}
 	for _, r := range answer.Rows {
 		row := platform.StoredRow{RowID: platform.RowID{Table: a.Table, Key: r.Key}, Value: r.Value, Version: r.Version, Deleted: r.Gone}
 		if r.Bad {
-			row.Err = errUnknown
+			row.Err = errUnreadableRow
 		}
 		p.Rows = append(p.Rows, row)
 	}
--- a/relay/asker_test.go
+++ b/relay/asker_test.go
@@ -16,21 +16,20 @@
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
-// local is a connection to a server in this process.
-type local struct{ server *Server }
+// localConn is a connection to a server in the same process.
+type localConn struct{ server *Server }
 
-func (l local) Ask(ctx context.Context, q wire.Question) (wire.Answer, error) {
+func (l localConn) Ask(ctx context.Context, q wire.Question) (wire.Answer, error) {
 	return l.server.Answer(ctx, q, clock.Now()), nil
 }
 
-func (local) CloseNow() error { return nil }
+func (localConn) CloseNow() error { return nil }
 
-// The load: the desired state grows to a thousand routes before a hundred
-// instances. One that has it would take seconds to tell all others of its zone;
-// each is sent to the store for that, once, and goes on asking.
+// A row that exceeds maxAnswerSize would hold up the answers to the zone. Each peer
+// reads it from the store once, and then goes on asking.
 func TestLargeRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cache, a := asked()
+		cache, a := newCacheAndAsker()
 		row := func(version int64, size int) platform.StoredRow {
 			return platform.StoredRow{RowID: platform.RowID{Table: table, Key: "state"}, Version: version, Value: bytes.Repeat([]byte("x"), size)}
 		}
@@ -40,29 +39,29 @@
 		assert.NoError(t, err)
 		assert.Len(t, p.Rows, 1)
 
-		cache.Change([]platform.StoredRow{row(2, maxTold)}, 2, clock.Now())
+		cache.Apply([]platform.StoredRow{row(2, maxAnswerSize)}, 2, clock.Now())
 		assert.True(t, a.Use())
 		_, err = a.Changes(t.Context(), table, 1, time.Second)
-		assert.ErrorIs(t, err, errLarge)
-		assert.False(t, a.Use(), "the next call goes to the store")
-		assert.True(t, a.Use(), "the one after it does not")
+		assert.ErrorIs(t, err, errAnswerTooLarge)
+		assert.False(t, a.Use(), "the next read goes to the store")
+		assert.True(t, a.Use(), "the read after that asks a peer")
 		_, err = a.Changes(t.Context(), table, 2, time.Second)
-		assert.NoError(t, err, "who has read it goes on asking")
+		assert.NoError(t, err, "the asker goes on asking after the read from the store")
 	})
 }
 
-// asked are the cache of an instance that is asked for its table, and its asker.
-func asked() (*Cache, *Asker) {
+// newCacheAndAsker returns the cache of an instance and an asker that asks it.
+func newCacheAndAsker() (*Cache, *Asker) {
 	cache := NewCache(sameRow, time.Minute)
 	server := &Server{Tables: map[string]*Cache{table: cache}, Leaving: func() bool { return false }, Log: zerolog.Nop()}
-	a := &Asker{Table: table, Choice: NewChoice("me", "z", func() []exchange.Peer { return []exchange.Peer{{Node: before("me", "z"), Zone: "z"}} }),
-		Cache: NewCache(sameRow, time.Minute), Dial: func(context.Context, string) (Conn, error) { return local{server}, nil }, Log: zerolog.Nop()}
-	cache.ask(clock.Now())
+	a := &Asker{Table: table, Choice: NewChoice("me", "z", func() []exchange.Peer { return []exchange.Peer{{Node: nameRankedBefore("me", "z"), Zone: "z"}} }),
+		Cache: NewCache(sameRow, time.Minute), Dial: func(context.Context, string) (Conn, error) { return localConn{server}, nil }, Log: zerolog.Nop()}
+	cache.noteQuestion(clock.Now())
 	return cache, a
 }
 
-// before is a name that comes before another in the order of a zone.
-func before(name, zone string) string {
+// nameRankedBefore returns the name of an instance that ranks before the named one.
+func nameRankedBefore(name, zone string) string {
 	for c := 'a'; ; c++ {
 		other := string(c)
 		choice := NewChoice(name, zone, func() []exchange.Peer { return []exchange.Peer{{Node: other, Zone: zone}} })
@@ -72,20 +71,20 @@
 	}
 }
 
-// When the store was away is told along: entries of targets that lapsed meanwhile
-// count for two seconds after its return, at those who ask, too.
-func TestAwayIsTold(t *testing.T) {
+// Answers say when the store was last unavailable: target entries that expired during
+// an outage stay valid for two seconds after its end, also at asking instances.
+func TestStoreOutageIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cache, a := asked()
+		cache, a := newCacheAndAsker()
 		cache.Replace(nil, 1, clock.Now())
 		p, err := a.Whole(t.Context(), platform.Range{})
 		assert.NoError(t, err)
 		assert.Zero(t, p.Away)
 
-		cache.Failed(clock.Now())
+		cache.StoreFailed(clock.Now())
 		time.Sleep(300 * time.Millisecond)
 		back := clock.Now()
-		cache.Change(stored([]string{"a gone"}, 2), 2, back)
+		cache.Apply(storedRows([]string{"a deleted"}, 2), 2, back)
 		time.Sleep(time.Second)
 		p, err = a.Changes(t.Context(), table, 1, 0)
 		assert.NoError(t, err)
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -12,244 +12,241 @@
 )
 
 const (
-	// askedFor is how long after the last question an instance goes on reading
-	// for others: a few times the longest wait of a question.
-	askedFor = 6 * time.Second
+	// peerDemandTime is how long after the last question an instance goes on reading
+	// for its peers. It is several times the longest wait of a question.
+	peerDemandTime = 6 * time.Second
 
-	// settling is how long after a change each write of a row is told. A boot of
-	// a target that was taken for ended is known to live once it has written for
-	// 3 s, by two heartbeats or more.
-	settling = 6 * time.Second
-	// stillHere is how often a row's writes that change nothing are told
-	// otherwise. With a heartbeat of 1.2 s that is one write in eight: 256
-	// targets come to 5 kB a second for each instance, in place of 43 kB.
-	stillHere = 10 * time.Second
+	// settlePeriod is how long after a change every write of a row is sent. A boot
+	// that was taken for ended counts as alive again after 3 s of heartbeats.
+	settlePeriod = 6 * time.Second
+	// unchangedInterval is how often a mere heartbeat of a row is sent otherwise.
+	unchangedInterval = 10 * time.Second
 
-	// behindWaits is how old knowledge may be that is told, in waits: while the
-	// store answers it is two waits old at most.
-	behindWaits = 2.2
+	// maxAgeWaits is the greatest age of a table that is sent, in units of
+	// maxWait. While the store answers, the age is at most two.
+	maxAgeWaits = 2.2
 
-	// failTime is how long an instance that does not reach the store any more
-	// goes on answering with what it knows: one lost answer is made up for within
-	// that time, and its askers still reach others before their knowledge is 2 s
-	// old.
-	failTime = 400 * time.Millisecond
+	// storeFailureGrace is how long an instance goes on answering when the store
+	// is unreachable. One failed call to the store is retried within that time, and
+	// peers still have time to ask elsewhere.
+	storeFailureGrace = 400 * time.Millisecond
 
-	// goneFor is how long it is remembered that a row is gone; an instance that
-	// last asked before then reads the table whole.
-	goneFor = 60 * time.Second
+	// tombstoneTime is how long a deleted row is kept. A peer whose table is
+	// older has to read the whole table.
+	tombstoneTime = 60 * time.Second
 )
 
 type (
-	// Cache holds one table of the store as this instance has read it, while
-	// others ask for it. Make one with NewCache.
+	// Cache holds a table as this instance has read it from the store, while
+	// peers ask for it. Create it with NewCache.
 	Cache struct {
-		same func(a, b platform.StoredRow) bool
-		wait time.Duration
+		unchanged func(a, b platform.StoredRow) bool
+		maxWait   time.Duration
 
-		mu      sync.Mutex
-		rows    map[string]*held // nil: the table is not held
-		version int64            // up to which the table is known
-		floor   int64            // askers that know it up to an earlier version have to read it whole
-		proved  clock.Time
-		away    clock.Time
-		failing clock.Time // since when the store has not answered; 0: it has
-		proofs  bool       // some ask for the table's age
-		changed bool       // rows have changed since the askers were woken
-		askedAt clock.Time
-		news    chan struct{} // closed when an answer may have changed
-		asked   chan struct{} // closed when the first question comes
+		mu            sync.Mutex
+		rows          map[string]*cachedRow // by key; nil: the table is not loaded
+		version       int64                 // of the newest write in rows
+		minVersion    int64                 // peers at an earlier version have to read the whole table
+		asOf          clock.Time            // up to which the table is complete
+		unavailableAt clock.Time            // when the store was last unavailable; 0: never
+		failingSince  clock.Time            // first failure since the store last answered; 0: none
+		wantsAsOf     bool                  // peers ask for the table's age
+		hasChanges    bool                  // rows have changed since the last notify
+		questionedAt  clock.Time
+		updated       chan struct{} // closed when an answer may have changed
+		questioned    chan struct{} // closed at the first question
 	}
 
-	// held is the newest write of a row.
-	held struct {
-		row     platform.StoredRow
-		told    int64      // version at which it is told
-		toldAt  clock.Time // when that was set
-		changed clock.Time // when the row last changed but for its heartbeat
+	// cachedRow holds the newest write of a row.
+	cachedRow struct {
+		row           platform.StoredRow
+		sendVersion   int64      // peers before this version are sent the row
+		sendVersionAt clock.Time // when sendVersion was set
+		changedAt     clock.Time // last change other than a heartbeat
 	}
 )
 
-// NewCache returns a cache of a table. same reports whether a row's next write
-// changes nothing that has to be told at once. wait is the longest that a call for
-// changes waits, to the store for others and to other instances: one that is cut off
-// from the store without a sign is found out within two waits and a half, and those
-// who ask it know what it cannot tell them within three.
-func NewCache(same func(a, b platform.StoredRow) bool, wait time.Duration) *Cache {
-	return &Cache{same: same, wait: wait, news: make(chan struct{}), asked: make(chan struct{})}
+// NewCache returns an empty cache. unchanged reports whether two writes of a row differ
+// in their heartbeat at most. maxWait bounds how long a call for changes waits, at the
+// store and at a peer. It determines how soon an instance notices that the store
+// does not answer, and how soon its peers turn to another instance.
+func NewCache(unchanged func(a, b platform.StoredRow) bool, maxWait time.Duration) *Cache {
+	return &Cache{unchanged: unchanged, maxWait: maxWait, updated: make(chan struct{}), questioned: make(chan struct{})}
 }
 
-// Asked reports whether others ask for the table, and if not, returns a channel
-// that is closed when one does.
-func (c *Cache) Asked(now clock.Time) (bool, <-chan struct{}) {
+// ServesPeers reports whether peers ask this instance for the table. If not, it
+// returns a channel that is closed at the next question.
+func (c *Cache) ServesPeers(now clock.Time) (bool, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.askedAt != 0 && now.Sub(c.askedAt) < askedFor {
+	if c.questionedAt != 0 && now.Sub(c.questionedAt) < peerDemandTime {
 		return true, nil
 	}
-	return false, c.asked
+	return false, c.questioned
 }
 
-// ask notes a question.
-func (c *Cache) ask(now clock.Time) {
+// noteQuestion records that a peer has asked a question.
+func (c *Cache) noteQuestion(now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.askedAt == 0 || now.Sub(c.askedAt) >= askedFor {
-		close(c.asked)
-		c.asked = make(chan struct{})
+	if c.questionedAt == 0 || now.Sub(c.questionedAt) >= peerDemandTime {
+		close(c.questioned)
+		c.questioned = make(chan struct{})
 	}
-	c.askedAt = now
+	c.questionedAt = now
 }
 
-// Holds reports whether the whole table is held.
-func (c *Cache) Holds() bool {
+// IsLoaded reports whether the cache holds the whole table.
+func (c *Cache) IsLoaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rows != nil
 }
 
-// Drop forgets the table, which is not read from the store any more.
-func (c *Cache) Drop() {
+// Clear drops the table. An instance that stops reading for peers calls it.
+func (c *Cache) Clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rows, c.failing = nil, 0
+	c.rows, c.failingSince = nil, 0
 }
 
-// Replace takes the whole table as of a version; it is complete up to proved.
-func (c *Cache) Replace(rows []platform.StoredRow, version int64, proved clock.Time) {
+// Replace sets the whole table at a version, complete up to the time asOf.
+func (c *Cache) Replace(rows []platform.StoredRow, version int64, asOf clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rows == nil {
-		c.rows, c.floor, c.changed = map[string]*held{}, version, true
+		c.rows, c.minVersion, c.hasChanges = map[string]*cachedRow{}, version, true
 	}
-	stands := make(map[string]bool, len(rows))
+	present := make(map[string]bool, len(rows))
 	for _, r := range rows {
-		stands[r.Key] = true
-		c.put(r, version)
+		present[r.Key] = true
+		c.putRow(r, version)
 	}
 	for key, h := range c.rows {
-		if !stands[key] && !h.row.Deleted {
-			c.put(platform.StoredRow{RowID: h.row.RowID, Version: version, Deleted: true}, version)
+		if !present[key] && !h.row.Deleted {
+			c.putRow(platform.StoredRow{RowID: h.row.RowID, Version: version, Deleted: true}, version)
 		}
 	}
-	c.advance(version, proved)
+	c.advance(version, asOf)
 }
 
-// Change takes rows that have changed up to a version; the table is complete up
-// to proved.
-func (c *Cache) Change(rows []platform.StoredRow, version int64, proved clock.Time) {
+// Apply adds rows that have changed up to a version. The table is then complete
+// up to the time asOf.
+func (c *Cache) Apply(rows []platform.StoredRow, version int64, asOf clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rows == nil {
 		return
 	}
 	for _, r := range rows {
-		c.put(r, r.Version)
+		c.putRow(r, r.Version)
 	}
-	c.advance(version, proved)
+	c.advance(version, asOf)
 }
 
-// Failed notes that the store did not answer.
-func (c *Cache) Failed(now clock.Time) {
+// StoreFailed records that a call to the store failed.
+func (c *Cache) StoreFailed(now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.failing == 0 {
-		c.failing = now
+	if c.failingSince == 0 {
+		c.failingSince = now
 	}
-	c.away = now
-	c.wake()
+	c.unavailableAt = now
+	c.notify()
 }
 
-// wake has the askers that wait look again; c.mu is held.
-func (c *Cache) wake() {
-	close(c.news)
-	c.news = make(chan struct{})
+// notify wakes the questions that wait for an update. The caller holds c.mu.
+func (c *Cache) notify() {
+	close(c.updated)
+	c.updated = make(chan struct{})
 }
 
-// put takes a write of a row, which is told at a version if it says anything
-// new; c.mu is held.
-func (c *Cache) put(r platform.StoredRow, version int64) {
+// putRow adds a write of a row. Peers before the given version are sent the row if
+// it changed, or if a heartbeat is due. The caller holds c.mu.
+func (c *Cache) putRow(r platform.StoredRow, version int64) {
 	now := clock.Now()
 	h := c.rows[r.Key]
 	if h != nil && h.row.Version == r.Version && !r.Deleted {
-		return // read again, with the whole table
+		return // known already; the whole table was read again
 	}
-	if h == nil || !c.same(h.row, r) {
-		c.rows[r.Key] = &held{row: r, told: version, toldAt: now, changed: now}
-		c.changed = true
+	if h == nil || !c.unchanged(h.row, r) {
+		c.rows[r.Key] = &cachedRow{row: r, sendVersion: version, sendVersionAt: now, changedAt: now}
+		c.hasChanges = true
 		return
 	}
 	h.row = r
-	if now.Sub(h.changed) < settling || now.Sub(h.toldAt) >= stillHere {
-		h.told, h.toldAt = version, now
+	if now.Sub(h.changedAt) < settlePeriod || now.Sub(h.sendVersionAt) >= unchangedInterval {
+		h.sendVersion, h.sendVersionAt = version, now
 	}
 }
 
-// advance notes up to where the table is known; c.mu is held.
-func (c *Cache) advance(version int64, proved clock.Time) {
-	if c.failing != 0 {
-		c.failing, c.away = 0, max(c.away, proved)
+// advance sets the version and time up to which the table is complete. The caller
+// holds c.mu.
+func (c *Cache) advance(version int64, asOf clock.Time) {
+	if c.failingSince != 0 {
+		c.failingSince, c.unavailableAt = 0, max(c.unavailableAt, asOf)
 	}
-	c.version, c.proved = max(c.version, version), max(c.proved, proved)
-	c.forget(clock.Now())
-	if c.proofs || c.changed {
-		c.wake()
+	c.version, c.asOf = max(c.version, version), max(c.asOf, asOf)
+	c.dropTombstones(clock.Now())
+	if c.wantsAsOf || c.hasChanges {
+		c.notify()
 	}
-	c.changed = false
+	c.hasChanges = false
 }
 
-// forget drops rows that have been gone for long; c.mu is held.
-func (c *Cache) forget(now clock.Time) {
+// dropTombstones removes rows that were deleted longer than tombstoneTime ago.
+// The caller holds c.mu.
+func (c *Cache) dropTombstones(now clock.Time) {
 	for key, h := range c.rows {
-		if h.row.Deleted && now.Sub(h.changed) > goneFor {
+		if h.row.Deleted && now.Sub(h.changedAt) > tombstoneTime {
 			delete(c.rows, key)
-			c.floor = max(c.floor, h.told)
+			c.minVersion = max(c.minVersion, h.sendVersion)
 		}
 	}
 }
 
-// answer is what can be said to a question that was received at a moment, and
-// whether it says anything that the asker does not know: before is up to when
-// the table was known to be complete when the question came. more is closed when
-// there may be another answer.
-func (c *Cache) answer(q wire.Question, received, before clock.Time) (a wire.Answer, news bool, more <-chan struct{}) {
+// answer returns the answer to a question that was received at the given time, and
+// whether it holds anything new to the asking peer. knownAsOf is the time up to
+// which the table was complete at receipt. updated is closed when the answer may
+// have changed.
+func (c *Cache) answer(q wire.Question, received, knownAsOf clock.Time) (a wire.Answer, isNew bool, updated <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.proofs = c.proofs || q.Proof
+	c.wantsAsOf = c.wantsAsOf || q.Proof
 	switch {
-	case c.failing != 0 && (c.rows == nil || clock.Now().Sub(c.failing) > failTime):
-		return wire.Answer{State: wire.AnswerBehind}, true, c.news
-	case c.rows == nil || clock.Now().Sub(c.proved) > time.Duration(behindWaits*float64(c.wait)):
-		return wire.Answer{State: wire.AnswerBehind}, false, c.news
-	case !q.Whole && q.After < c.floor:
-		return wire.Answer{State: wire.AnswerMissed}, true, c.news
+	case c.failingSince != 0 && (c.rows == nil || clock.Now().Sub(c.failingSince) > storeFailureGrace):
+		return wire.Answer{State: wire.AnswerBehind}, true, c.updated
+	case c.rows == nil || clock.Now().Sub(c.asOf) > time.Duration(maxAgeWaits*float64(c.maxWait)):
+		return wire.Answer{State: wire.AnswerBehind}, false, c.updated
+	case !q.Whole && q.After < c.minVersion:
+		return wire.Answer{State: wire.AnswerMissed}, true, c.updated
 	}
-	a = wire.Answer{Version: c.version, Proved: c.proved.Sub(received)}
-	if c.away != 0 {
-		a.Away = c.away.Sub(received)
+	a = wire.Answer{Version: c.version, Proved: c.asOf.Sub(received)}
+	if c.unavailableAt != 0 {
+		a.Away = c.unavailableAt.Sub(received)
 	}
-	a.Rows = c.since(q)
-	news = q.Whole || q.Proof && c.proved > before || c.urgent(q.After)
-	return a, news, c.news
+	a.Rows = c.rowsFor(q)
+	isNew = q.Whole || q.Proof && c.asOf > knownAsOf || c.changedSince(q.After)
+	return a, isNew, c.updated
 }
 
-// urgent reports whether a row has changed after a version but for its
-// heartbeat; c.mu is held.
-func (c *Cache) urgent(after int64) bool {
+// changedSince reports whether a row has changed after a version, other than by a
+// heartbeat. The caller holds c.mu.
+func (c *Cache) changedSince(after int64) bool {
 	for _, h := range c.rows {
-		if h.told > after && h.toldAt == h.changed {
+		if h.sendVersion > after && h.sendVersionAt == h.changedAt {
 			return true
 		}
 	}
 	return false
 }
 
-// since are the rows that an asker has to be told, in the order of their
-// writes; c.mu is held.
-func (c *Cache) since(q wire.Question) []wire.TableRow {
+// rowsFor returns the rows that answer a question, in the order of their writes.
+// The caller holds c.mu.
+func (c *Cache) rowsFor(q wire.Question) []wire.TableRow {
 	var out []wire.TableRow
 	for _, h := range c.rows {
-		if q.Whole && !h.row.Deleted || !q.Whole && h.told > q.After {
+		if q.Whole && !h.row.Deleted || !q.Whole && h.sendVersion > q.After {
 			out = append(out, wire.TableRow{Key: h.row.Key, Value: h.row.Value, Version: h.row.Version, Gone: h.row.Deleted, Bad: h.row.Err != nil})
 		}
 	}
@@ -257,9 +254,9 @@
 	return out
 }
 
-// provedAt is up to when the table is known to be complete.
-func (c *Cache) provedAt() clock.Time {
+// completeAsOf returns the time up to which the table is complete.
+func (c *Cache) completeAsOf() clock.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.proved
+	return c.asOf
 }
--- a/relay/cache_test.go
+++ b/relay/cache_test.go
@@ -29,7 +29,7 @@
 		Version int64
 		Fail    bool
 		Ask     *cacheAsk
-		Tells   []string
+		Rows    []string
 		State   string
 	}
 
@@ -39,7 +39,7 @@
 	}
 )
 
-var states = map[string]wire.AnswerState{"": wire.AnswerGood, "missed": wire.AnswerMissed, "behind": wire.AnswerBehind}
+var answerStates = map[string]wire.AnswerState{"": wire.AnswerGood, "missed": wire.AnswerMissed, "stale": wire.AnswerBehind}
 
 func TestCache(t *testing.T) {
 	b, err := os.ReadFile("testdata/cache.yaml")
@@ -48,45 +48,45 @@
 	require.NoError(t, yaml.UnmarshalWithOptions(b, &all, yaml.Strict()))
 	for _, c := range all {
 		t.Run(c.Name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { c.play(t) })
+			synctest.Test(t, func(t *testing.T) { c.run(t) })
 		})
 	}
 }
 
-func (c cacheCase) play(t *testing.T) {
-	begun := time.Now()
+func (c cacheCase) run(t *testing.T) {
+	start := time.Now()
 	cache := NewCache(sameRow, 725*time.Millisecond)
-	cache.ask(clock.Now())
+	cache.noteQuestion(clock.Now())
 	for n, s := range c.Steps {
-		time.Sleep(time.Until(begun.Add(time.Duration(s.At * float64(time.Second)))))
+		time.Sleep(time.Until(start.Add(time.Duration(s.At * float64(time.Second)))))
 		now := clock.Now()
 		switch {
 		case s.Read != nil:
-			cache.Replace(stored(s.Read, s.Version), s.Version, now)
+			cache.Replace(storedRows(s.Read, s.Version), s.Version, now)
 		case s.Change != nil:
-			cache.Change(stored(s.Change, s.Version), s.Version, now)
+			cache.Apply(storedRows(s.Change, s.Version), s.Version, now)
 		case s.Fail:
-			cache.Failed(now)
+			cache.StoreFailed(now)
 		case s.Ask != nil:
 			a, _, _ := cache.answer(wire.Question{Whole: s.Ask.Whole, After: s.Ask.After}, now, 0)
-			assert.Equal(t, states[s.State], a.State, "step %d", n)
-			assert.Equal(t, s.Tells, told(a), "step %d", n)
+			assert.Equal(t, answerStates[s.State], a.State, "step %d", n)
+			assert.Equal(t, s.Rows, answeredRows(a), "step %d", n)
 		}
 	}
 }
 
-// stored are rows written one after the other up to a version.
-func stored(rows []string, version int64) []platform.StoredRow {
+// storedRows returns rows with consecutive versions that end with the given one.
+func storedRows(rows []string, version int64) []platform.StoredRow {
 	var out []platform.StoredRow
 	for n, r := range rows {
 		key, value, _ := strings.Cut(r, " ")
 		out = append(out, platform.StoredRow{RowID: platform.RowID{Table: table, Key: key}, Value: []byte(value),
-			Version: version - int64(len(rows)-1-n), Deleted: value == "gone"})
+			Version: version - int64(len(rows)-1-n), Deleted: value == "deleted"})
 	}
 	return out
 }
 
-func told(a wire.Answer) []string {
+func answeredRows(a wire.Answer) []string {
 	if a.State != wire.AnswerGood {
 		return nil
 	}
@@ -94,7 +94,7 @@
 	for _, r := range a.Rows {
 		value := string(r.Value)
 		if r.Gone {
-			value = "gone"
+			value = "deleted"
 		}
 		out = append(out, r.Key+" "+value)
 	}
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -11,68 +11,66 @@
 )
 
 const (
-	// candidates is how many instances are asked before an instance reads from
-	// the store itself: when the store is away, all would fail one after the
-	// other.
-	candidates = 3
-	// firstShun and maxShun bound how long an instance that did not answer is
-	// not asked: it is back 2 to 4 s after it was killed, and a machine that was
-	// taken away never is.
-	firstShun = 4 * time.Second
-	maxShun   = 60 * time.Second
-	// awayCalls is how many calls a second all instances together make to a store
-	// that is away, but for the one that each zone asks first; leastAway and maxAway
-	// bound the longest wait of one between two calls. At 103 instances that is 0.7
-	// s for each; with 0.3 s 5,000 calls were refused in 8 s.
-	awayCalls = 150
-	leastAway = 300 * time.Millisecond
-	maxAway   = 4 * time.Second
-	// behindShun is the same for one that answers but does not reach the store,
-	// as long as the shorter outages of it last.
-	behindShun = 1500 * time.Millisecond
+	// maxCandidates is how many peers an instance tries before it reads from the
+	// store. While the store is unavailable, all peers fail one after the other.
+	maxCandidates = 3
+	// minPeerBackoff and maxPeerBackoff bound how long a peer that failed is not
+	// asked. A killed instance is usually back within minPeerBackoff.
+	minPeerBackoff = 4 * time.Second
+	maxPeerBackoff = 60 * time.Second
+	// maxOutageCallRate is how many calls a second all instances together make to
+	// an unavailable store, without the first instance of each zone.
+	// minOutageBackoff and maxOutageBackoff bound the resulting backoff.
+	maxOutageCallRate = 150
+	minOutageBackoff  = 300 * time.Millisecond
+	maxOutageBackoff  = 4 * time.Second
+	// stalePeerBackoff is how long a peer whose table is stale is not asked. It is
+	// about the length of a short store outage.
+	stalePeerBackoff = 1500 * time.Millisecond
 )
 
 type (
-	// Choice says which instance of the zone to ask. Make one with NewChoice.
+	// Choice selects the peer of the zone to ask. Create it with NewChoice.
 	Choice struct {
 		node, zone string
 		peers      func() []exchange.Peer
 
-		mu      sync.Mutex
-		shunned map[string]shun // by node
+		mu       sync.Mutex
+		backoffs map[string]peerBackoff // by node
 	}
 
-	// shun is that an instance is not asked until a moment.
-	shun struct {
-		until clock.Time
-		times int // in a row
+	// peerBackoff says until when a peer is not asked.
+	peerBackoff struct {
+		until    clock.Time
+		failures int // in a row
 	}
 )
 
-// NewChoice returns the choice of the named instance; peers are the other
-// instances that it knows.
+// NewChoice returns the choice of the named instance. peers returns the peers that
+// the instance knows.
 func NewChoice(node, zone string, peers func() []exchange.Peer) *Choice {
-	return &Choice{node: node, zone: zone, peers: peers, shunned: map[string]shun{}}
+	return &Choice{node: node, zone: zone, peers: peers, backoffs: map[string]peerBackoff{}}
 }
 
-// Next is the instance to ask; ok is false if this one is to read from the store.
+// Next returns the peer to ask. ok is false if this instance should read from the
+// store.
 func (c *Choice) Next(now clock.Time) (p exchange.Peer, ok bool) {
 	ranked := c.ranked()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, p := range ranked[:min(candidates, len(ranked))] {
+	for _, p := range ranked[:min(maxCandidates, len(ranked))] {
 		if p.Node == c.node {
 			return exchange.Peer{}, false
 		}
-		if now >= c.shunned[p.Node].until {
+		if now >= c.backoffs[p.Node].until {
 			return p, true
 		}
 	}
 	return exchange.Peer{}, false
 }
 
-// ranked are the instances of the zone in the order in which each of them asks,
-// this one among them. The order stays as others come and go.
+// ranked returns the instances of the zone, with this one, in the order in which all
+// of them ask. The order of two instances does not depend on the others.
 func (c *Choice) ranked() []exchange.Peer {
 	all := []exchange.Peer{{Node: c.node, Zone: c.zone}}
 	for _, p := range c.peers() {
@@ -97,42 +95,42 @@
 	return all
 }
 
-// Size is how many instances of the zone are known, this one among them.
-func (c *Choice) Size() int { return len(c.ranked()) }
+// ZoneSize returns the number of known instances of the zone, with this one.
+func (c *Choice) ZoneSize() int { return len(c.ranked()) }
 
-// Backoff is the longest that this instance waits between two calls to a store
-// that is away. The one that its zone asks first finds out soon when it is back,
-// and the others by asking that one.
+// Backoff returns the longest wait between two calls to an unavailable store. It is
+// shortest for the instance that its zone asks first, by which the others find out
+// that the store is back.
 func (c *Choice) Backoff() time.Duration {
 	if c.ranked()[0].Node == c.node {
-		return leastAway
+		return minOutageBackoff
 	}
 	n := len(c.peers()) + 1
-	return min(max(leastAway, time.Duration(n)*time.Second/awayCalls), maxAway)
+	return min(max(minOutageBackoff, time.Duration(n)*time.Second/maxOutageCallRate), maxOutageBackoff)
 }
 
-// Behind notes that an instance answered that it does not know the table.
-func (c *Choice) Behind(node string, now clock.Time) {
+// NoteStale records that a peer answered that its table is stale.
+func (c *Choice) NoteStale(node string, now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shunned[node] = shun{until: now.Add(behindShun)}
+	c.backoffs[node] = peerBackoff{until: now.Add(stalePeerBackoff)}
 }
 
-// Failed notes that an instance did not answer.
-func (c *Choice) Failed(node string, now clock.Time) {
+// NoteFailure records that a peer did not answer.
+func (c *Choice) NoteFailure(node string, now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.shunned[node]
+	s := c.backoffs[node]
 	if now < s.until {
-		return // a question of the same moment failed as well
+		return // a concurrent question has failed already
 	}
-	s.until, s.times = now.Add(min(firstShun<<min(s.times, 10), maxShun)), s.times+1
-	c.shunned[node] = s
+	s.until, s.failures = now.Add(min(minPeerBackoff<<min(s.failures, 10), maxPeerBackoff)), s.failures+1
+	c.backoffs[node] = s
 }
 
-// Served notes that an instance has answered.
-func (c *Choice) Served(node string) {
+// NoteSuccess records that a peer has answered.
+func (c *Choice) NoteSuccess(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.shunned, node)
+	delete(c.backoffs, node)
 }
--- a/relay/direct.go
+++ b/relay/direct.go
@@ -11,68 +11,67 @@
 	"github.com/ragworthitch/ragworthitch/platform"
 )
 
-// errNotHeld is why a table is read whole though no changes were missed: others
-// have begun to ask for it.
-var errNotHeld = errors.New("relay: table is not held whole")
+// errNotCached makes the caller read the whole table, which the cache needs when
+// peers begin to ask for it.
+var errNotCached = errors.New("relay: table is not cached")
 
-// Direct reads a table from the store, and keeps it in Cache while other
-// instances ask for it.
+// Direct reads a table from the store, and keeps it in Cache while peers ask for it.
 type Direct struct {
 	Store platform.Reader
 	Cache *Cache
 }
 
-// Whole reads the table.
+// Whole reads the whole table.
 func (d Direct) Whole(ctx context.Context, r platform.Range) (platform.Page, error) {
-	begun := clock.Now()
+	start := clock.Now()
 	p, err := d.Store.Whole(ctx, r)
-	if asked, _ := d.Cache.Asked(begun); !asked {
-		d.Cache.Drop()
+	if servesPeers, _ := d.Cache.ServesPeers(start); !servesPeers {
+		d.Cache.Clear()
 	} else if err != nil {
-		d.Cache.Failed(clock.Now())
+		d.Cache.StoreFailed(clock.Now())
 	} else {
-		d.Cache.Replace(p.Rows, p.Version, begun)
+		d.Cache.Replace(p.Rows, p.Version, start)
 	}
 	return p, err
 }
 
-// Changes waits for changed rows. It returns an error that wraps
-// discovery.ErrMissed if the table has to be read whole for others.
+// Changes waits for changed rows. Its error wraps discovery.ErrMissed if peers have
+// begun to ask for the table and the cache does not hold it yet.
 func (d Direct) Changes(ctx context.Context, table string, after int64, wait time.Duration) (platform.Page, error) {
-	begun := clock.Now()
-	asked, begins := d.Cache.Asked(begun)
-	if !asked {
-		d.Cache.Drop()
-	} else if !d.Cache.Holds() {
-		return platform.Page{}, fmt.Errorf("%w: %w", discovery.ErrMissed, errNotHeld)
+	start := clock.Now()
+	servesPeers, questioned := d.Cache.ServesPeers(start)
+	if !servesPeers {
+		d.Cache.Clear()
+	} else if !d.Cache.IsLoaded() {
+		return platform.Page{}, fmt.Errorf("%w: %w", discovery.ErrMissed, errNotCached)
 	}
-	if asked {
-		wait = min(wait, d.Cache.wait)
+	if servesPeers {
+		wait = min(wait, d.Cache.maxWait)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if !asked {
+	if !servesPeers {
 		go func() {
 			select {
-			case <-begins:
-				cancel(errNotHeld)
+			case <-questioned:
+				cancel(errNotCached)
 			case <-ctx.Done():
 			}
 		}()
 	}
-	if asked {
-		var end context.CancelFunc
-		ctx, end = context.WithTimeout(ctx, wait+answerTime)
-		defer end()
+	if servesPeers {
+		var cancelTimeout context.CancelFunc
+		ctx, cancelTimeout = context.WithTimeout(ctx, wait+answerTimeout)
+		defer cancelTimeout()
 	}
 	p, err := d.Store.Changes(ctx, table, after, wait)
 	switch {
-	case err == nil && asked:
-		d.Cache.Change(p.Rows, p.Version, begun)
-	case err != nil && errors.Is(context.Cause(ctx), errNotHeld):
-		return platform.Page{}, fmt.Errorf("%w: %w", discovery.ErrMissed, errNotHeld)
+	case err == nil && servesPeers:
+		d.Cache.Apply(p.Rows, p.Version, start)
+	case err != nil && errors.Is(context.Cause(ctx), errNotCached):
+		return platform.Page{}, fmt.Errorf("%w: %w", discovery.ErrMissed, errNotCached)
 	case err != nil:
-		d.Cache.Failed(clock.Now())
+		d.Cache.StoreFailed(clock.Now())
 	}
 	return p, err
 }
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,15 +1,15 @@
-// Package relay spreads what one entry instance has read of the store's tables
-// to the others of its availability zone, so that the calls to the store do not
-// grow with the number of instances.
+// Package relay passes the store's tables from one entry instance to the others of
+// its availability zone, so that the number of calls to the store does not grow
+// with the number of instances.
 //
-// Every instance orders those of its zone alike, by rendezvous hashing, and asks
-// the first of them that answers. The one that comes before all others reads
-// from the store, and so does any that is asked, or that nobody answers: there is
-// no election, and two that read at once cost calls, not a promise. Knowledge has
-// an age that the asker counts from its own question on, on its own clock. An
-// instance that stood still, or whose word comes late, cannot make it look
-// younger.
+// All instances of a zone order each other alike, by rendezvous hashing, and each
+// asks the first of them that answers. An instance reads from the store if it comes
+// first, if peers ask it, or if no peer answers. There is no election: two
+// instances that both read from the store cost additional calls, but no
+// correctness. The asking instance counts the age of a table on its own clock, from
+// the time at which it sent its question. A paused peer or a late answer therefore
+// never makes a table look younger than it is.
 //
-// Tables are told as they change. A target's heartbeats, which change nothing,
-// are told now and then only.
+// Changed rows are sent at once. Mere heartbeats of targets are sent only now and
+// then.
 package relay
--- a/relay/server.go
+++ b/relay/server.go
@@ -12,87 +12,85 @@
 )
 
 const (
-	// readTime is how long an asker waits for an instance that begins to read a
-	// table for it: the store answers in 4 to 8 ms.
-	readTime = 300 * time.Millisecond
-	// idleTime is how long a connection is kept on which nothing is asked.
-	idleTime = 60 * time.Second
-	// sendTime bounds the sending of an answer.
-	sendTime = 2 * time.Second
-	// maxTold bounds the rows of one answer. The smallest machines have 20
-	// Mbit/s, on which this takes 26 ms for each asker, while what is larger, a
-	// state with a thousand routes, would hold up the answers of the zone for
-	// seconds; the store has 200 times as much.
-	maxTold = 64 << 10
+	// firstReadTimeout is the least time for which a question waits while this
+	// instance reads the table from the store for the first time.
+	firstReadTimeout = 300 * time.Millisecond
+	// idleTimeout closes a connection without questions.
+	idleTimeout = 60 * time.Second
+	// sendTimeout bounds the sending of an answer.
+	sendTimeout = 2 * time.Second
+	// maxAnswerSize bounds the rows of an answer in bytes. On the smallest machines
+	// (20 Mbit/s) larger answers would delay those to the rest of the zone.
+	maxAnswerSize = 64 << 10
 )
 
-// Server answers other instances that ask for tables.
+// Server answers peers that ask for tables.
 type Server struct {
 	Tables map[string]*Cache // by name
-	// Leaving reports whether this instance stops soon: it answers nobody then.
+	// Leaving reports whether this instance is draining. It then refuses questions.
 	Leaving func() bool
-	// Keep takes what askers have noted, to be kept in the store; nil: it is
-	// dropped.
+	// Keep receives the cache locations that peers send along with questions, to
+	// write them to the store; nil: they are dropped.
 	Keep func(places []wire.Place)
 	Log  zerolog.Logger
 }
 
-// ServeHTTP answers one instance's questions until its connection ends.
+// ServeHTTP answers the questions of a peer until its connection ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.AcceptTable(w, r)
 	if err != nil {
-		s.Log.Warn().Err(err).Msg("relay: connection refused")
+		s.Log.Warn().Err(err).Msg("relay: WebSocket handshake failed")
 		return
 	}
 	defer c.CloseNow()
-	s.Log.Info().Str("asker", r.RemoteAddr).Msg("relay: asked for a table")
+	s.Log.Info().Str("asker", r.RemoteAddr).Msg("relay: peer connected")
 	for {
-		ctx, cancel := context.WithTimeout(r.Context(), idleTime)
+		ctx, cancel := context.WithTimeout(r.Context(), idleTimeout)
 		q, err := c.RecvQuestion(ctx)
 		cancel()
 		if err != nil {
-			s.Log.Info().Str("asker", r.RemoteAddr).Err(err).Msg("relay: asker gone")
+			s.Log.Info().Str("asker", r.RemoteAddr).Err(err).Msg("relay: peer disconnected")
 			return
 		}
 		a := s.Answer(r.Context(), q, clock.Now())
-		ctx, cancel = context.WithTimeout(r.Context(), sendTime)
+		ctx, cancel = context.WithTimeout(r.Context(), sendTimeout)
 		err = c.SendAnswer(ctx, a)
 		cancel()
 		if err != nil {
-			s.Log.Info().Str("asker", r.RemoteAddr).Err(err).Msg("relay: answer not sent")
+			s.Log.Info().Str("asker", r.RemoteAddr).Err(err).Msg("relay: sending an answer failed")
 			return
 		}
 	}
 }
 
-// Answer answers a question that was received at a moment: as soon as there is
-// something that the asker does not know, or when its wait is over.
+// Answer answers a question that was received at the given time, as soon as there is
+// anything new to the peer or when the question's wait has passed.
 func (s *Server) Answer(ctx context.Context, q wire.Question, received clock.Time) wire.Answer {
 	c := s.Tables[q.Table]
 	if c == nil || s.Leaving() {
 		return wire.Answer{State: wire.AnswerBehind}
 	}
-	c.ask(received)
+	c.noteQuestion(received)
 	if s.Keep != nil {
 		s.Keep(q.Places)
 	}
 	wait := q.Wait
-	if !c.Holds() {
-		wait = max(wait, readTime)
+	if !c.IsLoaded() {
+		wait = max(wait, firstReadTimeout)
 	}
 	t := time.NewTimer(wait)
 	defer t.Stop()
-	before := c.provedAt()
+	knownAsOf := c.completeAsOf()
 	for {
-		a, news, more := c.answer(q, received, before)
-		if size(a) > maxTold {
+		a, isNew, updated := c.answer(q, received, knownAsOf)
+		if rowsSize(a) > maxAnswerSize {
 			return wire.Answer{State: wire.AnswerLarge}
 		}
-		if news || s.Leaving() {
+		if isNew || s.Leaving() {
 			return a
 		}
 		select {
-		case <-more:
+		case <-updated:
 		case <-t.C:
 			return a
 		case <-ctx.Done():
@@ -101,8 +99,8 @@
 	}
 }
 
-// size is how many bytes the rows of an answer have.
-func size(a wire.Answer) int {
+// rowsSize returns the size of an answer's rows in bytes.
+func rowsSize(a wire.Answer) int {
 	n := 0
 	for _, r := range a.Rows {
 		n += len(r.Key) + len(r.Value)
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -28,28 +28,28 @@
 )
 
 const (
-	table     = "t"
-	rows      = 60
-	heartbeat = 1200 * time.Millisecond
-	// changeEvery is how many writes come between two that change a row: one
-	// every 3 s, so that calls for changes wait in vain in between.
-	changeEvery = 150
-	storeLag    = 4 * time.Millisecond
-	linkLag     = 200 * time.Microsecond
-	pollWait    = 800 * time.Millisecond
-	toldWait    = 400 * time.Millisecond // unless the scenario says another
-	pollGap     = 400 * time.Millisecond
-	rereadGap   = 10 * time.Second
-	// startTime is how long a start may take until it counts for the bounds,
-	// and settleTime how long after a fault on an instance, or on the store, it
-	// counts again.
+	table             = "t"
+	rows              = 60
+	heartbeatInterval = 1200 * time.Millisecond
+	// changeEvery is the number of writes per change of a row. A change every 3 s is
+	// rare enough that calls for changes time out in between.
+	changeEvery    = 150
+	storeLag       = 4 * time.Millisecond
+	linkLag        = 200 * time.Microsecond
+	pollWait       = 800 * time.Millisecond
+	defaultMaxWait = 400 * time.Millisecond // unless the scenario sets another
+	pollInterval   = 400 * time.Millisecond
+	rereadInterval = 10 * time.Second
+	// startTime after its start, and settleTime after a fault of its own or of the
+	// store, an instance has to meet the bound on age.
 	startTime  = time.Second
 	settleTime = 1500 * time.Millisecond
-	// lastCall is how long an instance may wait in vain for a last answer.
-	lastCall = 1500 * time.Millisecond
+	// lastCallTime is how long an instance may wait for a call that the store never
+	// answers.
+	lastCallTime = 1500 * time.Millisecond
 )
 
-var errCut = errors.New("cut")
+var errDisconnected = errors.New("connection lost")
 
 type (
 	scenario struct {
@@ -58,8 +58,8 @@
 		Zones     int
 		Seconds   float64
 		Faults    []fault
-		Twice     bool // two instances of a zone fail at once without a sign
-		Told      int  // longest wait for changes where one reads for others, in ms; 0: toldWait
+		Pair      bool // two instances of a zone fail at once
+		Wait      int  // longest wait of a call for changes, in ms; 0: defaultMaxWait
 		Bounds    struct {
 			Age   int
 			Calls float64
@@ -75,169 +75,168 @@
 		Lag   int
 	}
 
-	// write is a write of a row that changed it.
-	write struct {
+	// rowWrite is a write that changed a row.
+	rowWrite struct {
 		at      time.Time
 		key     string
 		n       int
 		deleted bool
 	}
 
-	// model is a deployment: a store, and instances that spread its table.
+	// model is a deployment: a store, and instances that relay its table.
 	model struct {
-		t     *testing.T
-		rng   *rand.Rand
-		begun time.Time
-		beats bool // rows are written when they do not change, too
-		told  time.Duration
-
-		mu        sync.Mutex
-		version   int64
-		floor     int64
-		stored    map[string]platform.StoredRow
-		changes   []platform.StoredRow
-		writes    []write
-		changed   chan struct{}
-		downUntil time.Time
-		slowUntil time.Time
-		lag       time.Duration
-		calls     int
-		instances []*instance
-		oldest    time.Duration
-		oldestAt  string
-	}
-
-	// instance is one entry instance: a follower of the table that is
-	// either read from the store or asked of others.
+		t          *testing.T
+		rng        *rand.Rand
+		start      time.Time
+		heartbeats bool // rows are also written without a change
+		maxWait    time.Duration
+
+		mu               sync.Mutex
+		version          int64
+		minVersion       int64
+		stored           map[string]platform.StoredRow
+		changes          []platform.StoredRow
+		writes           []rowWrite
+		changed          chan struct{}
+		unavailableUntil time.Time
+		slowUntil        time.Time
+		lag              time.Duration
+		calls            int
+		instances        []*instance
+		maxAge           time.Duration
+		maxAgeAt         string
+	}
+
+	// instance is an entry instance that follows the table, by reading it from the
+	// store or from peers.
 	instance struct {
 		m          *model
 		name, zone string
 		choice     *Choice
 
-		mu          sync.Mutex
-		stop        context.CancelFunc
-		life        context.Context // of the process
-		server      *Server
-		dead        bool
-		pausedUntil time.Time
-		silentUntil time.Time
-		cutUntil    time.Time
-		muteUntil   time.Time
-		soundFrom   time.Time // knowledge has to be young from then on
+		mu                sync.Mutex
+		stop              context.CancelFunc
+		processCtx        context.Context
+		server            *Server
+		killed            bool
+		pausedUntil       time.Time
+		unresponsiveUntil time.Time
+		storeErrorUntil   time.Time
+		storeSilentUntil  time.Time
+		checkedFrom       time.Time // the age of the table is checked from then on
 
-		proved clock.Time
-		known  map[string]int // number of the write that last changed a row
+		asOf       clock.Time
+		lastWrites map[string]int // number of the last known change, by key
 	}
 )
 
 func TestMain(m *testing.M) {
-	clock.FollowRuntime() // bubbles have a clock of their own
+	clock.FollowRuntime() // synctest bubbles have their own clock
 	os.Exit(m.Run())
 }
 
-// The load: hundreds of instances follow a table whose rows are written all the
-// time, while those who read it for others are killed, stand still or are cut
-// off, and the store is away, slow or has forgotten. Knowledge must never be
-// taken for younger than it is, and not get older than callers can be served on.
+// The age of a table is never underestimated, and stays in bounds, while reading
+// instances are killed, paused or disconnected and the store is unavailable, is slow or
+// loses its history.
 func TestSpread(t *testing.T) {
-	playAll(t, func(s scenario) bool { return !s.Twice })
+	runScenarios(t, func(s scenario) bool { return !s.Pair })
 }
 
-// The same where the first two instances of a zone fail at once without a sign, and
-// the others find out one after the other.
+// The age stays in bounds when the first two instances of a zone stop answering at
+// once, so that the others run into two timeouts.
 func TestTwoReadersSilent(t *testing.T) {
-	playAll(t, func(s scenario) bool { return s.Twice })
+	runScenarios(t, func(s scenario) bool { return s.Pair })
 }
 
-// playAll plays the scenarios that are wanted, with heartbeats and without.
-func playAll(t *testing.T, wanted func(scenario) bool) {
+// runScenarios runs the selected scenarios, each with and without heartbeats.
+func runScenarios(t *testing.T, selected func(scenario) bool) {
 	b, err := os.ReadFile("testdata/spread.yaml")
 	require.NoError(t, err)
 	var all []scenario
 	require.NoError(t, yaml.UnmarshalWithOptions(b, &all, yaml.Strict()))
-	for _, s := range slices.DeleteFunc(all, func(s scenario) bool { return !wanted(s) }) {
-		for _, beats := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s/beats=%v", s.Name, beats), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { play(t, s, beats) })
+	for _, s := range slices.DeleteFunc(all, func(s scenario) bool { return !selected(s) }) {
+		for _, heartbeats := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s/heartbeats=%v", s.Name, heartbeats), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { runScenario(t, s, heartbeats) })
 			})
 		}
 	}
 }
 
-func play(t *testing.T, s scenario, beats bool) {
-	m := &model{t: t, beats: beats, told: cmp.Or(time.Duration(s.Told)*time.Millisecond, toldWait), rng: rand.New(rand.NewPCG(uint64(s.Instances), 1)), begun: time.Now(), stored: map[string]platform.StoredRow{}, changed: make(chan struct{})}
+func runScenario(t *testing.T, s scenario, heartbeats bool) {
+	m := &model{t: t, heartbeats: heartbeats, maxWait: cmp.Or(time.Duration(s.Wait)*time.Millisecond, defaultMaxWait), rng: rand.New(rand.NewPCG(uint64(s.Instances), 1)), start: time.Now(), stored: map[string]platform.StoredRow{}, changed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
 	for k := range rows {
-		m.write(fmt.Sprint("k", k), 0, false)
+		m.changeRow(fmt.Sprint("k", k), 0, false)
 	}
 	for i := range s.Instances {
-		m.add(fmt.Sprint("n", i), fmt.Sprint("z", i%s.Zones))
+		m.addInstance(fmt.Sprint("n", i), fmt.Sprint("z", i%s.Zones))
 	}
 	for _, i := range m.instances {
 		i.start(ctx)
 	}
-	go m.work(ctx)
+	go m.writeRows(ctx)
 	for _, f := range s.Faults {
-		go m.inflict(ctx, f)
+		go m.injectFault(ctx, f)
 	}
 	time.Sleep(3 * time.Second)
-	early := m.calls
-	end := m.begun.Add(time.Duration(s.Seconds * float64(time.Second)))
+	callsAtStart := m.calls
+	end := m.start.Add(time.Duration(s.Seconds * float64(time.Second)))
 	for time.Now().Before(end) {
 		time.Sleep(50 * time.Millisecond)
-		m.look()
+		m.recordMaxAge()
 	}
 	m.mu.Lock()
-	calls := float64(m.calls-early) / (s.Seconds - 3)
+	calls := float64(m.calls-callsAtStart) / (s.Seconds - 3)
 	m.mu.Unlock()
-	t.Logf("oldest knowledge %v (%s), %.1f calls a second", m.oldest, m.oldestAt, calls)
-	assert.LessOrEqual(t, m.oldest.Milliseconds(), int64(s.Bounds.Age))
+	t.Logf("greatest age %v (%s), %.1f calls a second", m.maxAge, m.maxAgeAt, calls)
+	assert.LessOrEqual(t, m.maxAge.Milliseconds(), int64(s.Bounds.Age))
 	assert.LessOrEqual(t, calls, s.Bounds.Calls)
 	cancel()
 	synctest.Wait()
 }
 
-// work writes the rows.
-func (m *model) work(ctx context.Context) {
-	beat := heartbeat / rows
-	for n := 1; clock.Sleep(ctx, beat); n++ {
+// writeRows writes random rows until ctx ends.
+func (m *model) writeRows(ctx context.Context) {
+	interval := heartbeatInterval / rows
+	for n := 1; clock.Sleep(ctx, interval); n++ {
 		m.mu.Lock()
 		key := fmt.Sprint("k", m.rng.IntN(rows))
-		change, gone := n%changeEvery == 0, m.rng.IntN(10) == 0
+		change, deleted := n%changeEvery == 0, m.rng.IntN(10) == 0
 		m.mu.Unlock()
 		if change {
-			m.write(key, n, gone)
-		} else if m.beats {
-			m.beat(key)
+			m.changeRow(key, n, deleted)
+		} else if m.heartbeats {
+			m.heartbeat(key)
 		}
 	}
 }
 
-// write changes a row.
-func (m *model) write(key string, n int, gone bool) {
+// changeRow changes a row.
+func (m *model) changeRow(key string, n int, deleted bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.writes = append(m.writes, write{at: time.Now(), key: key, n: n, deleted: gone})
-	m.put(key, fmt.Sprintf("%d:0", n), gone)
+	m.writes = append(m.writes, rowWrite{at: time.Now(), key: key, n: n, deleted: deleted})
+	m.storeRow(key, fmt.Sprintf("%d:0", n), deleted)
 }
 
-// beat writes a row that stays as it is but for its heartbeat.
-func (m *model) beat(key string) {
+// heartbeat writes a row with only its heartbeat changed.
+func (m *model) heartbeat(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r, ok := m.stored[key]
 	if !ok {
 		return
 	}
-	n, beat, _ := strings.Cut(string(r.Value), ":")
-	b, _ := strconv.Atoi(beat)
-	m.put(key, fmt.Sprintf("%s:%d", n, b+1), false)
+	n, count, _ := strings.Cut(string(r.Value), ":")
+	b, _ := strconv.Atoi(count)
+	m.storeRow(key, fmt.Sprintf("%s:%d", n, b+1), false)
 }
 
-func (m *model) put(key, value string, gone bool) {
+func (m *model) storeRow(key, value string, deleted bool) {
 	m.version++
-	r := platform.StoredRow{RowID: platform.RowID{Table: table, Key: key}, Value: []byte(value), Version: m.version, Deleted: gone}
-	if gone {
+	r := platform.StoredRow{RowID: platform.RowID{Table: table, Key: key}, Value: []byte(value), Version: m.version, Deleted: deleted}
+	if deleted {
 		delete(m.stored, key)
 	} else {
 		m.stored[key] = r
@@ -253,7 +252,7 @@
 	return a.Deleted == b.Deleted && (a.Deleted || x == y)
 }
 
-func (m *model) add(name, zone string) {
+func (m *model) addInstance(name, zone string) {
 	i := &instance{m: m, name: name, zone: zone}
 	m.instances = append(m.instances, i)
 }
@@ -270,35 +269,35 @@
 func (i *instance) start(ctx context.Context) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.life, i.stop = context.WithCancel(ctx)
-	i.dead, i.known, i.proved = false, map[string]int{}, 0
-	if begins := time.Now().Add(startTime); begins.After(i.soundFrom) {
-		i.soundFrom = begins
+	i.processCtx, i.stop = context.WithCancel(ctx)
+	i.killed, i.lastWrites, i.asOf = false, map[string]int{}, 0
+	if checkedFrom := time.Now().Add(startTime); checkedFrom.After(i.checkedFrom) {
+		i.checkedFrom = checkedFrom
 	}
 	i.choice = NewChoice(i.name, i.zone, func() []exchange.Peer {
 		return slices.DeleteFunc(i.m.peers(), func(p exchange.Peer) bool { return p.Node == i.name })
 	})
-	cache := NewCache(sameRow, i.m.told)
+	cache := NewCache(sameRow, i.m.maxWait)
 	i.server = &Server{Tables: map[string]*Cache{table: cache}, Leaving: func() bool { return false }, Log: zerolog.Nop()}
-	store := &storeReader{i: i, life: i.life}
-	life := i.life
+	store := &storeReader{i: i, processCtx: i.processCtx}
+	processCtx := i.processCtx
 	asker := &Asker{Table: table, Proof: true, Choice: i.choice, Cache: cache, Log: zerolog.Nop(),
-		Dial: func(ctx context.Context, addr string) (Conn, error) { return i.dial(ctx, life, addr) }}
+		Dial: func(ctx context.Context, addr string) (Conn, error) { return i.dial(ctx, processCtx, addr) }}
 	f := &discovery.Follower[platform.StoredRow]{Name: table, Log: zerolog.Nop(), Source: source{Direct{Store: store, Cache: cache}},
-		Relay: relayed{source{asker}, asker}, Sink: &sink{i: i, life: i.life}, Wait: pollWait, Gap: pollGap, Reread: rereadGap, Backoff: i.choice.Backoff}
-	go f.Run(i.life)
+		Relay: relayed{source{asker}, asker}, Sink: &sink{i: i, processCtx: i.processCtx}, Wait: pollWait, Gap: pollInterval, Reread: rereadInterval, Backoff: i.choice.Backoff}
+	go f.Run(i.processCtx)
 }
 
 // kill ends the process.
 func (i *instance) kill() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.dead = true
+	i.killed = true
 	i.stop()
 }
 
-// gate holds the process up while it stands still.
-func (i *instance) gate(ctx context.Context) error {
+// waitWhilePaused blocks while the process is paused.
+func (i *instance) waitWhilePaused(ctx context.Context) error {
 	i.mu.Lock()
 	until := i.pausedUntil
 	i.mu.Unlock()
@@ -308,14 +307,14 @@
 	return ctx.Err()
 }
 
-// storeReader is how an instance reaches the store.
+// storeReader is an instance's connection to the store.
 type storeReader struct {
-	i    *instance
-	life context.Context
+	i          *instance
+	processCtx context.Context
 }
 
 func (r *storeReader) Whole(ctx context.Context, _ platform.Range) (platform.Page, error) {
-	if err := r.call(ctx); err != nil {
+	if err := r.request(ctx); err != nil {
 		return platform.Page{}, err
 	}
 	m := r.i.m
@@ -325,18 +324,18 @@
 		p.Rows = append(p.Rows, row)
 	}
 	m.mu.Unlock()
-	return p, r.back(ctx)
+	return p, r.response(ctx)
 }
 
 func (r *storeReader) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (platform.Page, error) {
-	if err := r.call(ctx); err != nil {
+	if err := r.request(ctx); err != nil {
 		return platform.Page{}, err
 	}
 	m := r.i.m
 	end := time.After(wait)
-	for over := false; ; {
+	for timedOut := false; ; {
 		m.mu.Lock()
-		if after < m.floor {
+		if after < m.minVersion {
 			m.mu.Unlock()
 			return platform.Page{}, discovery.ErrMissed
 		}
@@ -348,13 +347,13 @@
 		}
 		changed := m.changed
 		m.mu.Unlock()
-		if len(p.Rows) > 0 || over {
-			return p, r.back(ctx)
+		if len(p.Rows) > 0 || timedOut {
+			return p, r.response(ctx)
 		}
 		select {
 		case <-changed:
 		case <-end:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return platform.Page{}, ctx.Err()
 		}
@@ -363,38 +362,38 @@
 
 func (*storeReader) Drop() {}
 
-// call is the way to the store.
-func (r *storeReader) call(ctx context.Context) error {
-	if err := r.i.gate(ctx); err != nil {
+// request simulates the transfer of a request to the store.
+func (r *storeReader) request(ctx context.Context) error {
+	if err := r.i.waitWhilePaused(ctx); err != nil {
 		return err
 	}
 	m := r.i.m
 	m.mu.Lock()
 	m.calls++
-	down, lag := time.Now().Before(m.downUntil), storeLag
+	unavailable, lag := time.Now().Before(m.unavailableUntil), storeLag
 	if time.Now().Before(m.slowUntil) {
 		lag = m.lag
 	}
 	m.mu.Unlock()
 	r.i.mu.Lock()
-	cut, mute := time.Now().Before(r.i.cutUntil), time.Now().Before(r.i.muteUntil)
+	failing, silent := time.Now().Before(r.i.storeErrorUntil), time.Now().Before(r.i.storeSilentUntil)
 	r.i.mu.Unlock()
-	if mute {
+	if silent {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	if !clock.Sleep(ctx, lag) {
 		return ctx.Err()
 	}
-	if down || cut {
-		return errCut
+	if unavailable || failing {
+		return errDisconnected
 	}
 	return nil
 }
 
-// back is the way from the store.
-func (r *storeReader) back(ctx context.Context) error {
-	if err := r.i.gate(r.life); err != nil {
+// response simulates the transfer of a response from the store.
+func (r *storeReader) response(ctx context.Context) error {
+	if err := r.i.waitWhilePaused(r.processCtx); err != nil {
 		return err
 	}
 	return ctx.Err()
@@ -403,11 +402,11 @@
 // conn is a connection from one instance to another.
 type conn struct {
 	from, to *instance
-	life     context.Context // of the process at the other end
-	own      context.Context
+	peerCtx  context.Context // of the process at the other end
+	ownCtx   context.Context
 }
 
-func (i *instance) dial(ctx, own context.Context, addr string) (Conn, error) {
+func (i *instance) dial(ctx, ownCtx context.Context, addr string) (Conn, error) {
 	for _, to := range i.m.instances {
 		if to.name != addr {
 			continue
@@ -416,39 +415,39 @@
 			return nil, ctx.Err()
 		}
 		to.mu.Lock()
-		dead, silent, life := to.dead, time.Now().Before(to.silentUntil), to.life
+		killed, unresponsive, peerCtx := to.killed, time.Now().Before(to.unresponsiveUntil), to.processCtx
 		to.mu.Unlock()
-		if dead {
-			return nil, errCut
+		if killed {
+			return nil, errDisconnected
 		}
-		if silent {
+		if unresponsive {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		return &conn{from: i, to: to, life: life, own: own}, nil
+		return &conn{from: i, to: to, peerCtx: peerCtx, ownCtx: ownCtx}, nil
 	}
-	return nil, errCut
+	return nil, errDisconnected
 }
 
 func (c *conn) Ask(ctx context.Context, q wire.Question) (wire.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	context.AfterFunc(c.life, cancel) // a process that ends resets its connections
+	context.AfterFunc(c.peerCtx, cancel) // the end of a process resets its connections
 	if !clock.Sleep(ctx, linkLag) {
-		return wire.Answer{}, errCut
+		return wire.Answer{}, errDisconnected
 	}
 	c.to.mu.Lock()
-	silent, server := time.Now().Before(c.to.silentUntil), c.to.server
+	unresponsive, server := time.Now().Before(c.to.unresponsiveUntil), c.to.server
 	c.to.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return wire.Answer{}, ctx.Err()
 	}
-	if err := c.to.gate(ctx); err != nil {
+	if err := c.to.waitWhilePaused(ctx); err != nil {
 		return wire.Answer{}, err
 	}
 	a := server.Answer(ctx, q, clock.Now())
-	if err := c.to.gate(ctx); err != nil {
+	if err := c.to.waitWhilePaused(ctx); err != nil {
 		return wire.Answer{}, err
 	}
 	if !clock.Sleep(ctx, linkLag) {
@@ -458,7 +457,7 @@
 	if err != nil {
 		return wire.Answer{}, err
 	}
-	if err := c.from.gate(c.own); err != nil {
+	if err := c.from.waitWhilePaused(c.ownCtx); err != nil {
 		return wire.Answer{}, err
 	}
 	return wire.DecodeAnswer(b)
@@ -466,22 +465,22 @@
 
 func (*conn) CloseNow() error { return nil }
 
-// source is a table of the model.
-type source struct{ from platform.Reader }
+// source adapts a platform.Reader to the table of the model.
+type source struct{ reader platform.Reader }
 
 func (s source) Read(ctx context.Context) (discovery.Reading[platform.StoredRow], error) {
-	p, err := s.from.Whole(ctx, platform.Range{Table: table})
-	return reading(p), err
+	p, err := s.reader.Whole(ctx, platform.Range{Table: table})
+	return toReading(p), err
 }
 
 func (s source) Changes(ctx context.Context, after int64, wait time.Duration) (discovery.Reading[platform.StoredRow], error) {
-	p, err := s.from.Changes(ctx, table, after, wait)
-	return reading(p), err
+	p, err := s.reader.Changes(ctx, table, after, wait)
+	return toReading(p), err
 }
 
-func (s source) Drop() { s.from.Drop() }
+func (s source) Drop() { s.reader.Drop() }
 
-func reading(p platform.Page) discovery.Reading[platform.StoredRow] {
+func toReading(p platform.Page) discovery.Reading[platform.StoredRow] {
 	return discovery.Reading[platform.StoredRow]{Rows: p.Rows, Version: p.Version, Relayed: p.Relayed, Proved: p.Proved, Away: p.Away}
 }
 
@@ -495,16 +494,16 @@
 	return r.source.Changes(ctx, after, wait)
 }
 
-// sink takes what an instance learns, and checks it.
+// sink receives the rows that an instance reads, and checks them.
 type sink struct {
-	i    *instance
-	life context.Context
+	i          *instance
+	processCtx context.Context
 }
 
 func (s *sink) Replace(rows []platform.StoredRow, at clock.Time) {
 	s.i.mu.Lock()
-	if s.life.Err() == nil {
-		s.i.known = map[string]int{}
+	if s.processCtx.Err() == nil {
+		s.i.lastWrites = map[string]int{}
 	}
 	s.i.mu.Unlock()
 	s.Change(rows, at)
@@ -514,99 +513,99 @@
 	i := s.i
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if s.life.Err() != nil {
+	if s.processCtx.Err() != nil {
 		return
 	}
 	for _, r := range rows {
 		if r.Deleted {
-			delete(i.known, r.Key)
+			delete(i.lastWrites, r.Key)
 			continue
 		}
 		n, _, _ := strings.Cut(string(r.Value), ":")
-		i.known[r.Key], _ = strconv.Atoi(n)
+		i.lastWrites[r.Key], _ = strconv.Atoi(n)
 	}
-	i.proved = max(i.proved, at)
-	i.m.check(i, at)
+	i.asOf = max(i.asOf, at)
+	i.m.checkComplete(i, at)
 }
 
 func (*sink) Away(clock.Time) {}
 
-// check fails if an instance does not know what was written before a moment up
-// to which it takes its knowledge for complete; i.mu is held.
-func (m *model) check(i *instance, at clock.Time) {
+// checkComplete fails the test if an instance misses a write from before the time up
+// to which it assumes that its table is complete. The caller holds i.mu.
+func (m *model) checkComplete(i *instance, at clock.Time) {
 	if at > clock.Now() {
-		m.t.Errorf("%v: %s takes its knowledge for complete %v from now", time.Since(m.begun), i.name, at.Sub(clock.Now()))
+		m.t.Errorf("%v: %s assumes that its table is complete up to %v from now", time.Since(m.start), i.name, at.Sub(clock.Now()))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	last := map[string]write{}
+	last := map[string]rowWrite{}
 	for _, w := range m.writes {
 		if clock.Time(w.at.UnixNano()) < at {
 			last[w.key] = w
 		}
 	}
 	for key, w := range last {
-		n, ok := i.known[key]
+		n, ok := i.lastWrites[key]
 		if w.deleted && ok && n < w.n || !w.deleted && ok && n < w.n {
-			m.t.Errorf("%v: %s takes write %d of %s for the last, though %d came %v before %v", time.Since(m.begun), i.name, n, key, w.n,
-				time.Duration(at)-time.Duration(w.at.UnixNano()), time.Unix(0, int64(at)).Sub(m.begun))
+			m.t.Errorf("%v: %s has write %d of %s as the last, but write %d came %v before %v", time.Since(m.start), i.name, n, key, w.n,
+				time.Duration(at)-time.Duration(w.at.UnixNano()), time.Unix(0, int64(at)).Sub(m.start))
 		}
 	}
 }
 
-// look notes the oldest knowledge among the instances that reach the store.
-func (m *model) look() {
+// recordMaxAge updates the greatest age among the instances under check.
+func (m *model) recordMaxAge() {
 	now := time.Now()
 	m.mu.Lock()
-	if now.Before(m.downUntil.Add(settleTime)) {
+	if now.Before(m.unavailableUntil.Add(settleTime)) {
 		m.mu.Unlock()
 		return
 	}
 	m.mu.Unlock()
 	for _, i := range m.instances {
 		i.mu.Lock()
-		age := clock.Now().Sub(i.proved)
-		if !i.dead && !now.Before(i.soundFrom) && age > m.oldest {
-			m.oldest, m.oldestAt = age, fmt.Sprint(i.name, " at ", now.Sub(m.begun))
+		age := clock.Now().Sub(i.asOf)
+		if !i.killed && !now.Before(i.checkedFrom) && age > m.maxAge {
+			m.maxAge, m.maxAgeAt = age, fmt.Sprint(i.name, " at ", now.Sub(m.start))
 		}
 		i.mu.Unlock()
 	}
 }
 
-// inflict plays a fault.
-func (m *model) inflict(ctx context.Context, f fault) {
+// injectFault applies a fault at its time.
+func (m *model) injectFault(ctx context.Context, f fault) {
 	if !clock.Sleep(ctx, time.Duration(f.At*float64(time.Second))) {
 		return
 	}
-	span := time.Duration(f.For * float64(time.Second))
-	until := time.Now().Add(span)
+	duration := time.Duration(f.For * float64(time.Second))
+	until := time.Now().Add(duration)
 	m.mu.Lock()
 	switch f.Kind {
 	case "down":
-		m.downUntil = until
+		m.unavailableUntil = until
 	case "slow":
 		m.slowUntil, m.lag = until, time.Duration(f.Lag)*time.Millisecond
 	case "forget":
-		m.floor, m.changes = m.version, nil
+		m.minVersion, m.changes = m.version, nil
 	}
 	m.mu.Unlock()
-	for _, i := range m.hit(f) {
+	for _, i := range m.affected(f) {
 		i.mu.Lock()
 		switch f.Kind {
 		case "pause":
-			i.pausedUntil, i.soundFrom = until, until.Add(settleTime)
+			i.pausedUntil, i.checkedFrom = until, until.Add(settleTime)
 		case "silent":
-			i.silentUntil = until
+			i.unresponsiveUntil = until
 		case "mute":
-			i.muteUntil, i.soundFrom = until, until.Add(settleTime+lastCall)
+			i.storeSilentUntil, i.checkedFrom = until, until.Add(settleTime+lastCallTime)
 		case "cut":
-			i.cutUntil, i.soundFrom = until, until.Add(settleTime)
+			i.storeErrorUntil, i.checkedFrom = until, until.Add(settleTime)
 		}
 		i.mu.Unlock()
 		if f.Kind == "kill" {
 			i.kill()
 			go func() {
-				if clock.Sleep(ctx, span) {
+				if clock.Sleep(ctx, duration) {
 					i.start(ctx)
 				}
 			}()
@@ -614,8 +613,8 @@
 	}
 }
 
-// hit are the instances that a fault hits.
-func (m *model) hit(f fault) []*instance {
+// affected returns the instances that a fault affects.
+func (m *model) affected(f fault) []*instance {
 	if f.Share > 0 {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -628,7 +627,7 @@
 	}
 	var out []*instance
 	for _, i := range m.instances {
-		for _, p := range i.choice.ranked()[:min(f.First, i.choice.Size())] {
+		for _, p := range i.choice.ranked()[:min(f.First, i.choice.ZoneSize())] {
 			if p.Node == i.name {
 				out = append(out, i)
 			}
