--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,10 +1,11 @@
-// Package exchange keeps entry instances informed of each other's work at
-// the targets, so that calls which arrive at many instances together are not
-// all sent to the same target. An instance sends its view to every other one
-// when it changes; views are hints, and each may be late or missing. Along with
-// them goes what is known of requests that crash targets; it is told on, and so
-// reaches instances that are not told of each other's work, within moments and
-// also while the store is away.
+// Package exchange lets entry instances report their load at the targets to each
+// other, so that calls which arrive at many instances at once are not all sent to
+// the same target. An instance sends a view of its load to its peers whenever the
+// load changes. Views are hints: each may be late or lost.
+//
+// Views also carry reports of targets that crashed under a request. Instances
+// forward these reports, so that they reach all instances within seconds, also
+// while the store is unavailable.
 package exchange
 
 import (
@@ -25,101 +26,98 @@
 )
 
 const (
-	// interval is how late the end of a call, or its first event, may be
-	// told; a new call is told at once (Tell). Views that
-	// are 50 ms late are worse than none when many calls come together: all
-	// instances then see the same engines free. At 5 to 10 ms the longest
-	// queue of 70 callers who return together is 10 to 20% shorter than
-	// without views (route's load patterns).
-	interval = 50 * time.Millisecond
-	// pace is the least time between two views on a connection.
-	pace = 4 * time.Millisecond
-	// gapNews is the change of an engine's gap between events that is told,
-	// as a share: smaller ones change no choice.
-	gapNews = 0.2
-	// keepAlive is the longest time without a view; an instance that has
-	// said nothing for staleAfter is taken to have no work.
-	keepAlive  = 1 * time.Second
-	staleAfter = 2500 * time.Millisecond
+	// pollInterval is how often an instance looks for ended calls and first events
+	// to report. New calls are reported at once, by Tell: with late reports all
+	// instances would send a burst of calls to the same idle targets.
+	pollInterval = 50 * time.Millisecond
+	// minViewInterval is the least time between two views on a connection.
+	minViewInterval = 4 * time.Millisecond
+	// minIntervalChange is the relative change of an event interval that is
+	// reported. Smaller changes don't affect the choice of a target.
+	minIntervalChange = 0.2
+	// maxViewInterval is the longest time between two views on a connection. After
+	// viewTimeout without a view, the peer's load counts as zero.
+	maxViewInterval = 1 * time.Second
+	viewTimeout     = 2500 * time.Millisecond
 
-	dialTime  = 500 * time.Millisecond
-	sendTime  = 500 * time.Millisecond
-	redialGap = 300 * time.Millisecond
-	// lostAfter is how long an instance is tried in vain before it is left
-	// to the table of instances: a replaced machine does not come back.
-	lostAfter = 60 * time.Second
+	dialTimeout = 500 * time.Millisecond
+	sendTimeout = 500 * time.Millisecond
+	redialDelay = 300 * time.Millisecond
+	// giveUpTime is how long an instance tries to connect to a peer before it
+	// forgets the peer, until the table of instances names that peer again.
+	giveUpTime = 60 * time.Second
 )
 
 type (
-	// Exchange sends and takes views. Make one with New.
+	// Exchange sends and receives views. Create it with New.
 	Exchange struct {
-		node    string
-		zone    string
-		targets *registry.Registry
-		recall  *recall.Recall
-		book    *poison.Book
-		log     zerolog.Logger
-		dial    func(ctx context.Context, addr string) (conn, error)
+		node           string
+		zone           string
+		targets        *registry.Registry
+		cacheLocations *recall.Recall
+		crashes        *poison.Book
+		log            zerolog.Logger
+		dial           func(ctx context.Context, addr string) (conn, error)
 
 		mu        sync.Mutex
 		ctx       context.Context
-		heard     map[string]*wire.Conn // the newest connection that brought a peer's view, by node
+		incoming  map[string]*wire.Conn // newest connection that a peer sends views on, by node
 		known     map[string]Peer       // by node
-		confirmed clock.Time            // up to when known is complete; 0: it was never read
-		peers     map[string]*link      // of those that are told
-		news      chan struct{}         // closed when there is something to tell at once
+		knownAsOf clock.Time            // time up to which known is complete; 0: not read yet
+		links     map[string]*link      // to the peers that are sent views, by node
+		updated   chan struct{}         // closed when there is something to report at once
 	}
 
-	// conn is a connection to a peer.
+	// conn is a connection to a peer that receives views.
 	conn interface {
 		SendView(ctx context.Context, v wire.View) error
 		CloseNow() error
 	}
 
-	// report is what a peer was told of a target.
+	// report is what a peer was sent about a target.
 	report struct {
-		load registry.Load
-		gap  time.Duration // between events of runs there; 0: not known
+		load          registry.Load
+		eventInterval time.Duration // of streams there; 0: unknown
 	}
 
-	// link is the connection on which a peer is told our view.
+	// link sends views to a peer.
 	link struct {
 		addr string
 		stop context.CancelFunc
 	}
 )
 
-// New returns an exchange for the named instance.
-func New(node, zone string, targets *registry.Registry, places *recall.Recall, book *poison.Book, log zerolog.Logger) *Exchange {
-	return &Exchange{node: node, zone: zone, targets: targets, recall: places, book: book, log: log, dial: dialView,
-		heard: map[string]*wire.Conn{}, known: map[string]Peer{}, peers: map[string]*link{}, news: make(chan struct{})}
+// New returns the exchange of the named instance.
+func New(node, zone string, targets *registry.Registry, cacheLocations *recall.Recall, crashes *poison.Book, log zerolog.Logger) *Exchange {
+	return &Exchange{node: node, zone: zone, targets: targets, cacheLocations: cacheLocations, crashes: crashes, log: log, dial: dialView,
+		incoming: map[string]*wire.Conn{}, known: map[string]Peer{}, links: map[string]*link{}, updated: make(chan struct{})}
 }
 
 func dialView(ctx context.Context, addr string) (conn, error) { return wire.DialView(ctx, addr) }
 
-// Tell has the own view sent to all peers at once.
+// Tell causes the view of this instance to be sent to all linked peers at once.
 func (e *Exchange) Tell() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	close(e.news)
-	e.news = make(chan struct{})
+	close(e.updated)
+	e.updated = make(chan struct{})
 }
 
-// told returns a channel that is closed at the next Tell.
-func (e *Exchange) told() <-chan struct{} {
+// nextUpdate returns a channel that is closed at the next Tell.
+func (e *Exchange) nextUpdate() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.news
+	return e.updated
 }
 
-// Run keeps the links to peers until ctx ends.
+// Run maintains the links to peers until ctx ends.
 func (e *Exchange) Run(ctx context.Context) error {
 	e.mu.Lock()
 	e.ctx = ctx
-	e.choose()
+	e.updateLinks()
 	e.mu.Unlock()
 	edits := uint64(0)
-	for clock.Sleep(ctx, interval) {
+	for clock.Sleep(ctx, pollInterval) {
 		if n := e.targets.Edits(); n != edits {
 			edits = n
 			e.Tell()
@@ -128,78 +126,79 @@
 	return nil
 }
 
-// tell keeps a peer told until ctx ends or the peer is lost.
-func (e *Exchange) tell(ctx context.Context, p Peer) {
-	up := clock.Now()
+// keepLink sends views to a peer, and reconnects after errors, until ctx ends or
+// the peer is unreachable for giveUpTime.
+func (e *Exchange) keepLink(ctx context.Context, p Peer) {
+	lastConnected := clock.Now()
 	for ctx.Err() == nil {
-		told, err := e.session(ctx, p)
-		if told {
-			up = clock.Now()
-			e.log.Info().Str("peer", p.Node).Err(err).Msg("exchange: peer lost")
+		connected, err := e.runLink(ctx, p)
+		if connected {
+			lastConnected = clock.Now()
+			e.log.Info().Str("peer", p.Node).Err(err).Msg("exchange: connection to peer lost")
 		}
-		if clock.Now().Sub(up) > lostAfter {
-			e.giveUp(p)
-			e.log.Warn().Str("peer", p.Node).Str("addr", p.Addr).Msg("exchange: peer given up")
+		if clock.Now().Sub(lastConnected) > giveUpTime {
+			e.dropPeer(p)
+			e.log.Warn().Str("peer", p.Node).Str("addr", p.Addr).Msg("exchange: peer unreachable; forgetting it")
 			return
 		}
-		clock.Sleep(ctx, redialGap)
+		clock.Sleep(ctx, redialDelay)
 	}
 }
 
-// session connects and sends views until the connection fails; told says
-// that there was a connection.
-func (e *Exchange) session(ctx context.Context, p Peer) (told bool, err error) {
-	dctx, cancel := context.WithTimeout(ctx, dialTime)
-	c, err := e.dial(dctx, p.Addr)
+// runLink connects to a peer and sends views until the connection fails. connected
+// reports whether there was a connection.
+func (e *Exchange) runLink(ctx context.Context, p Peer) (connected bool, err error) {
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	c, err := e.dial(dialCtx, p.Addr)
 	cancel()
 	if err != nil {
 		return false, err
 	}
 	defer c.CloseNow()
-	e.log.Info().Str("peer", p.Node).Str("addr", p.Addr).Msg("exchange: peer reached")
+	e.log.Info().Str("peer", p.Node).Str("addr", p.Addr).Msg("exchange: connected to peer")
 	sent := map[ragworthitch.Boot]report{}
-	var last clock.Time
-	var noted, deaths uint64
+	var lastSent clock.Time
+	var locationCount, crashCount uint64
 	for ctx.Err() == nil {
-		news := e.told()
-		v := e.changes(sent)
-		v.Places, noted = e.places(noted)
-		v.Deaths, deaths = e.book.Since(deaths)
-		if now := clock.Now(); len(v.Loads) > 0 || len(v.Places) > 0 || len(v.Deaths) > 0 || now.Sub(last) >= keepAlive {
-			last = now
-			sctx, cancel := context.WithTimeout(ctx, sendTime)
-			err := c.SendView(sctx, v)
+		updated := e.nextUpdate()
+		v := e.changesSince(sent)
+		v.Places, locationCount = e.cacheLocationsSince(locationCount)
+		v.Deaths, crashCount = e.crashes.Since(crashCount)
+		if now := clock.Now(); len(v.Loads) > 0 || len(v.Places) > 0 || len(v.Deaths) > 0 || now.Sub(lastSent) >= maxViewInterval {
+			lastSent = now
+			sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
+			err := c.SendView(sendCtx, v)
 			cancel()
 			if err != nil {
 				return true, err
 			}
 		}
-		clock.Sleep(ctx, pace)
-		waitNews(ctx, keepAlive, news)
+		clock.Sleep(ctx, minViewInterval)
+		waitUpdate(ctx, maxViewInterval, updated)
 	}
 	return true, ctx.Err()
 }
 
-// changes is the view of what differs from what was sent, and notes it as
-// sent. Only targets with work, now or in sent, are looked at.
-func (e *Exchange) changes(sent map[ragworthitch.Boot]report) wire.View {
+// changesSince returns a view of the loads that differ from those in sent, and adds
+// them to sent. It examines only targets that have load now or in sent.
+func (e *Exchange) changesSince(sent map[ragworthitch.Boot]report) wire.View {
 	v := wire.View{Node: e.node}
-	now := map[ragworthitch.Boot]report{}
-	at := clock.Now()
+	current := map[ragworthitch.Boot]report{}
+	now := clock.Now()
 	for _, m := range e.targets.Busy() {
-		now[m.Target().Boot()] = report{load: m.Work().Own(), gap: m.Pace().Own(at)}
+		current[m.Target().Boot()] = report{load: m.Work().Own(), eventInterval: m.Pace().Own(now)}
 	}
 	for b := range sent {
-		if _, ok := now[b]; !ok {
-			now[b] = report{}
+		if _, ok := current[b]; !ok {
+			current[b] = report{}
 		}
 	}
-	for b, n := range now {
-		if !n.news(sent[b]) {
+	for b, n := range current {
+		if !n.differsFrom(sent[b]) {
 			continue
 		}
 		l := n.load
-		v.Loads = append(v.Loads, wire.TargetLoad{Target: b, Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens, Gap: n.gap})
+		v.Loads = append(v.Loads, wire.TargetLoad{Target: b, Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens, Gap: n.eventInterval})
 		sent[b] = n
 		if l == (registry.Load{}) {
 			delete(sent, b)
@@ -208,19 +207,20 @@
 	return v
 }
 
-// news reports whether a peer that was told before has to be told n: a gap
-// alone has to change by gapNews for that.
-func (n report) news(before report) bool {
+// differsFrom reports whether a peer that was sent the report before has to be sent
+// n: if the load differs, or the event interval differs by minIntervalChange.
+func (n report) differsFrom(before report) bool {
 	if n.load != before.load {
 		return true
 	}
-	change := float64(n.gap - before.gap)
-	return n.gap != 0 && math.Abs(change) > gapNews*float64(before.gap)
+	change := float64(n.eventInterval - before.eventInterval)
+	return n.eventInterval != 0 && math.Abs(change) > minIntervalChange*float64(before.eventInterval)
 }
 
-// places are the prompts that this instance has had read since the first n.
-func (e *Exchange) places(n uint64) ([]wire.Place, uint64) {
-	fresh, total := e.recall.Since(n)
+// cacheLocationsSince returns the cache locations that this instance has recorded
+// after the first n, and the number of all so far.
+func (e *Exchange) cacheLocationsSince(n uint64) ([]wire.Place, uint64) {
+	fresh, total := e.cacheLocations.Since(n)
 	out := make([]wire.Place, 0, len(fresh))
 	for _, p := range fresh {
 		out = append(out, wire.Place{Subject: p.Subject, Engine: p.Engine})
@@ -228,17 +228,17 @@
 	return out, total
 }
 
-// ServeHTTP takes a peer's views until its connection ends.
+// ServeHTTP receives views of a peer until its connection ends.
 func (e *Exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.AcceptView(w, r)
 	if err != nil {
-		e.log.Warn().Err(err).Msg("exchange: connection refused")
+		e.log.Warn().Err(err).Msg("exchange: WebSocket handshake failed")
 		return
 	}
 	defer c.CloseNow()
 	node := ""
 	for {
-		ctx, cancel := context.WithTimeout(r.Context(), staleAfter)
+		ctx, cancel := context.WithTimeout(r.Context(), viewTimeout)
 		v, err := c.RecvView(ctx)
 		cancel()
 		if err != nil {
@@ -246,39 +246,39 @@
 		}
 		if node == "" {
 			node = v.Node
-			e.hear(node, c)
+			e.setIncoming(node, c)
 		}
-		e.take(v)
+		e.apply(v)
 	}
-	e.drop(node, c)
+	e.dropIncoming(node, c)
 }
 
-// hear notes the connection that now brings a peer's view.
-func (e *Exchange) hear(node string, c *wire.Conn) {
+// setIncoming records the connection on which a peer now sends views.
+func (e *Exchange) setIncoming(node string, c *wire.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.heard[node] = c
+	e.incoming[node] = c
 }
 
-// drop forgets a peer's view with its connection, unless the peer has
-// connected anew meanwhile.
-func (e *Exchange) drop(node string, c *wire.Conn) {
+// dropIncoming drops the load of a peer whose connection ended, unless the peer has
+// reconnected in the meantime.
+func (e *Exchange) dropIncoming(node string, c *wire.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.heard[node] != c {
+	if e.incoming[node] != c {
 		return
 	}
-	delete(e.heard, node)
+	delete(e.incoming, node)
 	e.targets.Forget(node)
-	e.log.Info().Str("peer", node).Msg("exchange: peer's view dropped")
+	e.log.Info().Str("peer", node).Msg("exchange: peer disconnected; its load is dropped")
 }
 
-func (e *Exchange) take(v wire.View) {
+func (e *Exchange) apply(v wire.View) {
 	now := clock.Now()
 	for _, p := range v.Places {
-		e.recall.Heard(recall.Place{Subject: p.Subject, Engine: p.Engine}, now)
+		e.cacheLocations.Heard(recall.Place{Subject: p.Subject, Engine: p.Engine}, now)
 	}
-	e.hearDeaths(v.Deaths, now)
+	e.applyCrashes(v.Deaths, now)
 	for _, l := range v.Loads {
 		if m := e.targets.Boot(l.Target); m != nil {
 			m.Work().SetOther(v.Node, registry.Load{Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens})
@@ -287,25 +287,24 @@
 	}
 }
 
-// hearDeaths takes what a peer knows of requests that crash targets, and tells on
-// what is news.
-func (e *Exchange) hearDeaths(deaths []poison.Death, now clock.Time) {
-	news := false
-	for _, d := range deaths {
-		news = e.book.Died(d, poison.SourcePeer, now) || news
+// applyCrashes records crashes that a peer reports, and forwards those that are new.
+func (e *Exchange) applyCrashes(crashes []poison.Death, now clock.Time) {
+	isNew := false
+	for _, d := range crashes {
+		isNew = e.crashes.Died(d, poison.SourcePeer, now) || isNew
 	}
-	if news {
+	if isNew {
 		e.Tell()
 	}
 }
 
-// waitNews lasts d, or until news is closed.
-func waitNews(ctx context.Context, d time.Duration, news <-chan struct{}) {
+// waitUpdate waits until updated is closed, d has passed or ctx ends.
+func waitUpdate(ctx context.Context, d time.Duration, updated <-chan struct{}) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-news:
+	case <-updated:
 	case <-ctx.Done():
 	}
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -23,48 +23,48 @@
 const within = 2 * time.Second
 
 type node struct {
-	targets registry.Registry
-	places  recall.Recall
-	book    poison.Book
-	ex      *exchange.Exchange
-	addr    string
-	stop    context.CancelFunc
-	srv     *httptest.Server
+	targets        registry.Registry
+	cacheLocations recall.Recall
+	crashes        poison.Book
+	ex             *exchange.Exchange
+	addr           string
+	stop           context.CancelFunc
+	srv            *httptest.Server
 }
 
 func start(t *testing.T, name string) *node {
 	n := &node{}
 	n.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}), 0)
-	n.ex = exchange.New(name, "ate", &n.targets, &n.places, &n.book, zerolog.Nop())
+	n.ex = exchange.New(name, "ate", &n.targets, &n.cacheLocations, &n.crashes, zerolog.Nop())
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	go n.ex.Run(ctx)
 	n.srv = httptest.NewServer(n.ex)
 	n.addr = strings.TrimPrefix(n.srv.URL, "http://")
 	t.Cleanup(func() { stop(); n.srv.CloseClientConnections(); n.srv.Close() })
-	time.Sleep(10 * time.Millisecond) // Run takes over its context
+	time.Sleep(10 * time.Millisecond) // until Run has set its context
 	return n
 }
 
-// An instance knows of another's work within a few ms of its beginning, and
-// forgets it when it ends or when the other instance is gone.
+// A peer's load appears within milliseconds, and disappears when the calls end or the
+// peer is lost.
 func TestViews(t *testing.T) {
 	a, b := start(t, "a"), start(t, "b")
 	a.ex.Know(exchange.Peer{Node: "b", Addr: b.addr}, false)
-	a.ex.Know(exchange.Peer{Node: "a", Addr: a.addr}, false) // itself: no connection
+	a.ex.Know(exchange.Peer{Node: "a", Addr: a.addr}, false) // itself: ignored
 	work := a.targets.ByID("i-1").Work()
 	seen := b.targets.ByID("i-1").Work()
 
 	started, end := work.Begin(8000, 9000)
-	a.places.Note(recall.Place{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 0)}, clock.Now())
+	a.cacheLocations.Note(recall.Place{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 0)}, clock.Now())
 	a.ex.Tell()
-	assert.Eventually(t, func() bool { engine, _ := b.places.Where("5c1e", clock.Now()); return engine.ID() == "i-1" }, within, time.Millisecond)
+	assert.Eventually(t, func() bool { engine, _ := b.cacheLocations.Where("5c1e", clock.Now()); return engine.ID() == "i-1" }, within, time.Millisecond)
 	assert.Eventually(t, func() bool { return seen.All() == registry.Load{Prefill: 8000, Running: 1, Tokens: 9000} }, within, time.Millisecond)
 	assert.Equal(t, registry.Load{}, seen.Own())
 	started()
 	assert.Eventually(t, func() bool { return seen.All().Prefill == 0 && seen.All().Running == 1 }, within, time.Millisecond)
 
-	// A second call begins while the first runs; the instance then dies.
+	// The instance ends while a second call is in progress.
 	work.Begin(500, 600)
 	a.ex.Tell()
 	require.Eventually(t, func() bool { return seen.All().Running == 2 }, within, time.Millisecond)
@@ -73,21 +73,20 @@
 	assert.Eventually(t, func() bool { return seen.All() == registry.Load{} }, 2*within, 5*time.Millisecond)
 }
 
-// A peer that has connected anew is not forgotten when its old connection,
-// which went silent, is given up.
+// The load of a peer that has reconnected stays when its old connection ends.
 func TestOldConnectionEndsLater(t *testing.T) {
 	b := start(t, "b")
 	seen := b.targets.ByID("i-1").Work()
-	tell := func() *wire.Conn {
+	sendView := func() *wire.Conn {
 		c, err := wire.DialView(t.Context(), b.addr)
 		require.NoError(t, err)
 		require.NoError(t, c.SendView(t.Context(), wire.View{Node: "a", Loads: []wire.TargetLoad{{Target: ragworthitch.NewBoot("i-1", 0), Running: 1}}}))
 		require.Eventually(t, func() bool { return seen.All().Running == 1 }, within, time.Millisecond)
 		return c
 	}
-	old := tell()
-	renewed := tell()
-	time.Sleep(20 * time.Millisecond) // the second view has been taken
+	old := sendView()
+	renewed := sendView()
+	time.Sleep(20 * time.Millisecond) // until the second view is applied
 	old.CloseNow()
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, 1, seen.All().Running)
@@ -95,7 +94,7 @@
 	assert.Eventually(t, func() bool { return seen.All().Running == 0 }, within, time.Millisecond)
 }
 
-// A peer that comes back at another address is reached there.
+// A peer that changes its address is sent views at the new one only.
 func TestPeerMoves(t *testing.T) {
 	a, b, c := start(t, "a"), start(t, "b"), start(t, "b")
 	a.targets.ByID("i-1").Work().Begin(10, 20)
--- a/exchange/internal_test.go
+++ b/exchange/internal_test.go
@@ -17,9 +17,9 @@
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
-// Of many instances a bounded number is told, those of the own zone first,
-// and the choice stays when others come.
-func TestNearest(t *testing.T) {
+// The number of linked peers is bounded, the own zone comes first, and new instances
+// change few links.
+func TestSelectPeers(t *testing.T) {
 	e := New("n-0", "ate", &registry.Registry{}, &recall.Recall{}, &poison.Book{}, zerolog.Nop())
 	add := func(from, to int) {
 		for i := from; i < to; i++ {
@@ -28,20 +28,20 @@
 		}
 	}
 	add(1, 20)
-	require.Len(t, e.nearest(), 19, "a small deployment tells everybody")
+	require.Len(t, e.selectPeers(), 19, "a small deployment links all peers")
 	add(20, 60)
-	before := e.nearest()
+	before := e.selectPeers()
 	require.Len(t, before, maxPeers)
-	own := 0
+	ownZone := 0
 	for _, p := range before {
 		if p.Zone == "ate" {
-			own++
+			ownZone++
 		}
 	}
-	assert.Equal(t, 19, own, "all of the own zone")
+	assert.Equal(t, 19, ownZone, "all peers of the own zone")
 	add(60, 63)
 	kept := 0
-	for node := range e.nearest() {
+	for node := range e.selectPeers() {
 		if _, ok := before[node]; ok {
 			kept++
 		}
@@ -49,8 +49,8 @@
 	assert.GreaterOrEqual(t, kept, maxPeers-3)
 }
 
-// BenchmarkView measures what one changed call costs a connection: the look
-// through all targets and the frame, with its size.
+// BenchmarkView measures what a change costs for each connection: finding the changed
+// loads and encoding the frame.
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{24, 740} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -60,7 +60,7 @@
 			}
 			e := New("front-ate-1", "ate", &targets, &recall.Recall{}, &poison.Book{}, zerolog.Nop())
 			sent := map[ragworthitch.Boot]report{}
-			e.changes(sent)
+			e.changesSince(sent)
 			m := targets.All()[0]
 			work := m.Work()
 			m.Pace().Event(29*time.Millisecond, true, clock.Now())
@@ -68,7 +68,7 @@
 			for b.Loop() {
 				calls++
 				started, end := work.Begin(8000+calls, 9000)
-				frame, err := wire.EncodeView(e.changes(sent))
+				frame, err := wire.EncodeView(e.changesSince(sent))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -11,24 +11,22 @@
 )
 
 const (
-	// maxPeers is how many instances are told. With all instances told of
-	// all, 100 took half of a core each for it and 300 all of it; up to 25
-	// instances everybody knows everything, beyond that each knows of those
-	// of its zone that it shares most targets with.
+	// maxPeers is the number of peers that an instance sends views to. The limit
+	// keeps the CPU time for views constant in large deployments.
 	maxPeers = 24
-	// farPeers of them are of other zones, however many there are in the own one,
-	// for what is told on.
-	farPeers = 4
+	// otherZonePeers of them are kept for other zones, so that forwarded reports
+	// cross zones.
+	otherZonePeers = 4
 )
 
-// Peer is another instance, as the table of instances names it.
+// Peer is another entry instance, as listed in the table of instances.
 type Peer struct {
 	Node string
 	Zone string
-	Addr string // ip:port for views
+	Addr string // host:port of its views
 }
 
-// Know takes a peer's address, or with gone that it is no more.
+// Know adds a peer or updates its address. With gone it removes the peer.
 func (e *Exchange) Know(p Peer, gone bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,57 +38,59 @@
 	} else {
 		e.known[p.Node] = p
 	}
-	e.choose()
+	e.updateLinks()
 }
 
-// Known are the other instances, as the table of instances names them.
+// Known returns the known peers.
 func (e *Exchange) Known() []Peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Collect(maps.Values(e.known))
 }
 
-// Confirmed notes that the table of instances was complete up to a moment.
+// Confirmed records that the table of instances is complete up to the given time.
 func (e *Exchange) Confirmed(at clock.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.confirmed = max(e.confirmed, at)
+	e.knownAsOf = max(e.knownAsOf, at)
 }
 
-// Entries is how many instances there are, this one among them, and up to when
-// that is known to be right; ok is false if the table of them was not read yet.
-// It is a budget.Entries.
+// Entries returns the number of entry instances, with this one, and the time up to
+// which that is known to be complete. ok is false if the table of instances was not
+// read yet. Entries is a budget.Entries.
 func (e *Exchange) Entries() (n int, at clock.Time, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.known) + 1, e.confirmed, e.confirmed != 0
+	return len(e.known) + 1, e.knownAsOf, e.knownAsOf != 0
 }
 
-// choose keeps links to the peers that are to be told; e.mu is held.
-func (e *Exchange) choose() {
+// updateLinks opens and closes links to match the selected peers. The caller holds
+// e.mu.
+func (e *Exchange) updateLinks() {
 	if e.ctx == nil {
 		return
 	}
-	told := e.nearest()
-	for node, l := range e.peers {
-		if p, ok := told[node]; !ok || p.Addr != l.addr {
+	selected := e.selectPeers()
+	for node, l := range e.links {
+		if p, ok := selected[node]; !ok || p.Addr != l.addr {
 			l.stop()
-			delete(e.peers, node)
+			delete(e.links, node)
 		}
 	}
-	for node, p := range told {
-		if e.peers[node] == nil {
+	for node, p := range selected {
+		if e.links[node] == nil {
 			ctx, stop := context.WithCancel(e.ctx)
-			e.peers[node] = &link{addr: p.Addr, stop: stop}
-			go e.tell(ctx, p)
+			e.links[node] = &link{addr: p.Addr, stop: stop}
+			go e.keepLink(ctx, p)
 		}
 	}
 }
 
-// nearest are the peers to be told: those of the own zone first, but for farPeers,
-// and of these the ones that a hash of both names puts first, so that the choice
-// stays when others come or go.
-func (e *Exchange) nearest() map[string]Peer {
+// selectPeers returns the peers to send views to. Peers of the own zone come first,
+// except that otherZonePeers are left for other zones. Within each group, rendezvous
+// hashing selects the peers, so that few links change when instances come or go. The
+// caller holds e.mu.
+func (e *Exchange) selectPeers() map[string]Peer {
 	all := slices.Collect(maps.Values(e.known))
 	key := route.Key(e.node)
 	slices.SortFunc(all, func(a, b Peer) int {
@@ -102,9 +102,9 @@
 		}
 		return cmp.Compare(route.Affinity(key, b.Node), route.Affinity(key, a.Node))
 	})
-	own := slices.IndexFunc(all, func(p Peer) bool { return p.Zone != e.zone })
-	if own > maxPeers-farPeers {
-		all = slices.Delete(all, maxPeers-farPeers, own)
+	ownZoneCount := slices.IndexFunc(all, func(p Peer) bool { return p.Zone != e.zone })
+	if ownZoneCount > maxPeers-otherZonePeers {
+		all = slices.Delete(all, maxPeers-otherZonePeers, ownZoneCount)
 	}
 	out := map[string]Peer{}
 	for _, p := range all[:min(len(all), maxPeers)] {
@@ -113,12 +113,12 @@
 	return out
 }
 
-// giveUp forgets a peer, unless it is known at another address by now.
-func (e *Exchange) giveUp(p Peer) {
+// dropPeer forgets a peer, unless it has got another address in the meantime.
+func (e *Exchange) dropPeer(p Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.known[p.Node] == p {
 		delete(e.known, p.Node)
-		e.choose()
+		e.updateLinks()
 	}
 }
--- a/exchange/spread_test.go
+++ b/exchange/spread_test.go
@@ -26,91 +26,90 @@
 
 const (
 	linkLag = time.Millisecond // between zones
-	// settled is how long instances take to find each other.
-	settled = 2 * time.Second
-	// watched is for how long it is looked who does not know yet.
-	watched = 8 * time.Second
-	// tries is how often a second the request comes to any of the instances, and
-	// contactTime how long after the third death none may send it.
-	tries       = 200
+	// startTime is how long instances take to connect to each other.
+	startTime = 2 * time.Second
+	// observedTime is how long the instances are observed after the crashes.
+	observedTime = 8 * time.Second
+	// callRate is the number of calls a second with the poison request, over all
+	// instances. From contactTime after the third crash no instance may send one.
+	callRate    = 200
 	contactTime = 3 * time.Second
 )
 
-var errGone = errors.New("gone")
+var errProcessEnded = errors.New("process ended")
 
 type (
-	// spreadCase is a deployment, and what happens to some of its instances at the
-	// moment at which three others see a target crash under the same request.
+	// spreadCase is a deployment, and the faults of some of its instances at the
+	// time when three others see a target crash under the same request.
 	spreadCase struct {
 		Name      string
 		Instances int
 		Zones     int
-		Killed    float64 // share that ends for good
-		Frozen    float64 // share that stands still for the next seconds
-		Silent    float64 // share whose connections stand and bring nothing
+		Killed    float64 // share of instances that end
+		Frozen    float64 // share that is paused
+		Silent    float64 // share whose connections stay open but transfer nothing
 		Started   int     // instances that start a second later
-		WithinMs  int64   `yaml:"withinMs"` // until all others know
+		WithinMs  int64   `yaml:"withinMs"` // until all undisturbed instances know
 	}
 
-	// fleet is the instances of a play.
+	// fleet holds the instances of a test.
 	fleet struct {
-		mu    sync.Mutex
-		nodes map[string]*spreadNode // by address
+		mu        sync.Mutex
+		instances map[string]*spreadNode // by address
 	}
 
-	// spreadNode is one instance.
+	// spreadNode is an instance.
 	spreadNode struct {
-		peer   Peer
-		book   poison.Book
-		ex     *Exchange
-		stop   context.CancelFunc
-		mu     sync.Mutex
-		dead   bool
-		frozen time.Time // until then
-		silent time.Time // until then
+		peer    Peer
+		crashes poison.Book
+		ex      *Exchange
+		stop    context.CancelFunc
+		mu      sync.Mutex
+		ended   bool
+		frozen  time.Time // end of the pause
+		silent  time.Time // end of the fault
 	}
 
-	// spreadConn is a connection from one to another.
+	// spreadConn is a connection between two instances.
 	spreadConn struct{ from, to *spreadNode }
 )
 
 func TestMain(m *testing.M) {
-	clock.FollowRuntime() // bubbles have a clock of their own
+	clock.FollowRuntime() // synctest bubbles have their own clock
 	os.Exit(m.Run())
 }
 
-// The load: three targets have crashed under a request, each seen by another
-// instance, while the store is away. All that are not disturbed themselves know it
-// within the time in which the platform asks for it, whoever else is killed, stands
-// still or is cut off, whatever the number of instances.
-func TestDeathsSpread(t *testing.T) {
+// While the store is unavailable, three instances each see a target crash under the
+// same request. All undisturbed instances quarantine the request in time, whichever
+// other instances are killed, paused or disconnected.
+func TestCrashReportsSpread(t *testing.T) {
 	for _, c := range cases.Load[spreadCase](t, "testdata/spread.yaml") {
 		t.Run(c.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := playSpread(t, c)
-				t.Logf("known by all after %v; %d of %d tries sent after the third death", r.took, r.sends, r.tries)
-				assert.LessOrEqual(t, r.took.Milliseconds(), c.WithinMs)
-				assert.Zero(t, r.late)
+				r := runSpread(t, c)
+				t.Logf("known to all after %v; %d of %d calls sent after the third crash", r.spreadTime, r.sent, r.calls)
+				assert.LessOrEqual(t, r.spreadTime.Milliseconds(), c.WithinMs)
+				assert.Zero(t, r.sentLate)
 			})
 		})
 	}
 }
 
-// spreadResult is what a play has shown.
+// spreadResult is what a test has measured.
 type spreadResult struct {
-	took  time.Duration // until the last undisturbed instance knew, after the third death
-	tries int           // of the request, at undisturbed instances
-	sends int           // that were sent, since the instance did not know
-	late  int           // later than contactTime
+	spreadTime time.Duration // from the third crash until the last undisturbed instance knew
+	calls      int           // with the poison request, at undisturbed instances
+	sent       int           // calls that were sent because the instance did not know
+	sentLate   int           // calls that were sent after contactTime
 }
 
-// playSpread plays a case, with the request coming to any instance all the while.
-func playSpread(t *testing.T, c spreadCase) (r spreadResult) {
+// runSpread runs a case while the poison request arrives at random instances.
+func runSpread(t *testing.T, c spreadCase) (r spreadResult) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer synctest.Wait()
 	defer cancel()
 	rng := rand.New(rand.NewPCG(uint64(c.Instances), 1))
-	f := &fleet{nodes: map[string]*spreadNode{}}
+	f := &fleet{instances: map[string]*spreadNode{}}
 	var all []*spreadNode
 	for i := range c.Instances {
 		all = append(all, f.add(i, c.Zones))
@@ -118,27 +117,27 @@
 	for _, n := range all {
 		f.start(ctx, n)
 	}
-	time.Sleep(settled)
-	struck := all[3:]
-	rng.Shuffle(len(struck), func(i, j int) { struck[i], struck[j] = struck[j], struck[i] })
-	calm := slices.Clone(all[:3])
-	for i, n := range struck {
-		share := float64(i) / float64(len(struck))
+	time.Sleep(startTime)
+	others := all[3:]
+	rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	undisturbed := slices.Clone(all[:3])
+	for i, n := range others {
+		share := float64(i) / float64(len(others))
 		switch {
 		case share < c.Killed:
 			n.kill()
 		case share < c.Killed+c.Frozen:
-			n.hold(&n.frozen)
+			n.disturb(&n.frozen)
 		case share < c.Killed+c.Frozen+c.Silent:
-			n.hold(&n.silent)
+			n.disturb(&n.silent)
 		default:
-			calm = append(calm, n)
+			undisturbed = append(undisturbed, n)
 		}
 	}
 	print := poison.Of("o", "POST", "h", "/p", nil)
-	begun, known := time.Now(), len(calm)
+	start, seen := time.Now(), len(undisturbed)
 	for i := range 3 {
-		all[i].book.Died(poison.Death{Print: print, Boot: ragworthitch.NewBoot(fmt.Sprint("i-", i), 0), Org: "o", Service: "llm"}, poison.SourceOwn, clock.Now())
+		all[i].crashes.Died(poison.Death{Print: print, Boot: ragworthitch.NewBoot(fmt.Sprint("i-", i), 0), Org: "o", Service: "llm"}, poison.SourceOwn, clock.Now())
 		all[i].ex.Tell()
 	}
 	time.AfterFunc(time.Second, func() {
@@ -146,53 +145,53 @@
 			n := f.add(c.Instances+i, c.Zones)
 			f.start(ctx, n)
 			f.mu.Lock()
-			calm = append(calm, n)
+			undisturbed = append(undisturbed, n)
 			f.mu.Unlock()
 		}
 	})
-	unaware := slices.Clone(calm)
-	for r.took = watched; time.Since(begun) < watched; time.Sleep(time.Millisecond) {
+	unaware := slices.Clone(undisturbed)
+	for r.spreadTime = observedTime; time.Since(start) < observedTime; time.Sleep(time.Millisecond) {
 		f.mu.Lock()
-		r.try(calm[rng.IntN(len(calm))], print, rng.Float64() < tries*time.Millisecond.Seconds(), time.Since(begun))
-		unaware = append(unaware, calm[known:]...)
-		known = len(calm)
-		unaware = slices.DeleteFunc(unaware, func(n *spreadNode) bool { return n.book.Judge(print, clock.Now()).Condemned })
-		left := len(unaware)
+		r.call(undisturbed[rng.IntN(len(undisturbed))], print, rng.Float64() < callRate*time.Millisecond.Seconds(), time.Since(start))
+		unaware = append(unaware, undisturbed[seen:]...)
+		seen = len(undisturbed)
+		unaware = slices.DeleteFunc(unaware, func(n *spreadNode) bool { return n.crashes.Judge(print, clock.Now()).Condemned })
+		unawareCount := len(unaware)
 		f.mu.Unlock()
-		if left == 0 && r.took == watched && (c.Started == 0 || time.Since(begun) > time.Second) {
-			r.took = time.Since(begun)
+		if unawareCount == 0 && r.spreadTime == observedTime && (c.Started == 0 || time.Since(start) > time.Second) {
+			r.spreadTime = time.Since(start)
 		}
 	}
 	return r
 }
 
-// try has the request come to an instance.
-func (r *spreadResult) try(n *spreadNode, print poison.Fingerprint, comes bool, after time.Duration) {
-	if !comes {
+// call sends the poison request to an instance, if arrives is set.
+func (r *spreadResult) call(n *spreadNode, print poison.Fingerprint, arrives bool, after time.Duration) {
+	if !arrives {
 		return
 	}
-	r.tries++
-	if n.book.Judge(print, clock.Now()).Condemned {
+	r.calls++
+	if n.crashes.Judge(print, clock.Now()).Condemned {
 		return
 	}
-	r.sends++
+	r.sent++
 	if after > contactTime {
-		r.late++
+		r.sentLate++
 	}
 }
 
-// add makes an instance and has it and all others know of each other.
+// add creates an instance that knows all others and is known to them.
 func (f *fleet) add(i, zones int) *spreadNode {
 	n := &spreadNode{peer: Peer{Node: fmt.Sprint("n-", i), Zone: fmt.Sprint("z", i%zones), Addr: fmt.Sprint("10.0.0.", i)}}
-	n.ex = New(n.peer.Node, n.peer.Zone, &registry.Registry{}, &recall.Recall{}, &n.book, zerolog.Nop())
+	n.ex = New(n.peer.Node, n.peer.Zone, &registry.Registry{}, &recall.Recall{}, &n.crashes, zerolog.Nop())
 	n.ex.dial = func(ctx context.Context, addr string) (conn, error) { return f.dial(ctx, n, addr) }
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, o := range f.nodes {
+	for _, o := range f.instances {
 		n.ex.Know(o.peer, false)
 		o.ex.Know(n.peer, false)
 	}
-	f.nodes[n.peer.Addr] = n
+	f.instances[n.peer.Addr] = n
 	return n
 }
 
@@ -204,61 +203,61 @@
 func (n *spreadNode) kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dead = true
+	n.ended = true
 	n.stop()
 }
 
 func (f *fleet) dial(ctx context.Context, from *spreadNode, addr string) (conn, error) {
 	f.mu.Lock()
-	to := f.nodes[addr]
+	to := f.instances[addr]
 	f.mu.Unlock()
 	if !clock.Sleep(ctx, 2*linkLag) {
 		return nil, ctx.Err()
 	}
-	if to == nil || to.gone() {
-		return nil, errGone
+	if to == nil || to.hasEnded() {
+		return nil, errProcessEnded
 	}
-	return &spreadConn{from: from, to: to}, (&spreadConn{from: from, to: to}).pass(ctx)
+	return &spreadConn{from: from, to: to}, (&spreadConn{from: from, to: to}).waitUndisturbed(ctx)
 }
 
-// hold has the instance frozen or silent from now on.
-func (n *spreadNode) hold(until *time.Time) {
+// disturb makes the instance frozen or silent from now on.
+func (n *spreadNode) disturb(until *time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	*until = time.Now().Add(watched)
+	*until = time.Now().Add(observedTime)
 }
 
-func (n *spreadNode) gone() bool {
+func (n *spreadNode) hasEnded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dead
+	return n.ended
 }
 
-// held is how long the instance takes nothing, and sends nothing.
-func (n *spreadNode) held() time.Duration {
+// disturbedFor returns how long the instance still receives and sends nothing.
+func (n *spreadNode) disturbedFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return max(time.Until(n.frozen), time.Until(n.silent))
 }
 
-// pass waits as long as either end holds data up.
-func (c *spreadConn) pass(ctx context.Context) error {
-	if d := max(c.from.held(), c.to.held()); d > 0 && !clock.Sleep(ctx, d) {
+// waitUndisturbed waits until neither end is disturbed.
+func (c *spreadConn) waitUndisturbed(ctx context.Context) error {
+	if d := max(c.from.disturbedFor(), c.to.disturbedFor()); d > 0 && !clock.Sleep(ctx, d) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// SendView brings a view to the other end, as the wire does.
+// SendView delivers a view to the other end.
 func (c *spreadConn) SendView(ctx context.Context, v wire.View) error {
-	if err := c.pass(ctx); err != nil {
+	if err := c.waitUndisturbed(ctx); err != nil {
 		return err
 	}
 	if !clock.Sleep(ctx, linkLag) {
 		return ctx.Err()
 	}
-	if c.to.gone() {
-		return errGone
+	if c.to.hasEnded() {
+		return errProcessEnded
 	}
 	b, err := wire.EncodeView(v)
 	if err != nil {
@@ -268,9 +267,9 @@
 	if err != nil {
 		return err
 	}
-	c.to.ex.take(got)
+	c.to.ex.apply(got)
 	return nil
 }
 
-// CloseNow ends the connection.
+// CloseNow does nothing.
 func (*spreadConn) CloseNow() error { return nil }
