--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -162,9 +162,9 @@
 	for ctx.Err() == nil {
 		updated := e.nextUpdate()
 		v := e.changesSince(sent)
-		v.Places, locationCount = e.cacheLocationsSince(locationCount)
-		v.Deaths, crashCount = e.crashes.Since(crashCount)
-		if now := clock.Now(); len(v.Loads) > 0 || len(v.Places) > 0 || len(v.Deaths) > 0 || now.Sub(lastSent) >= maxViewInterval {
+		v.CacheLocations, locationCount = e.cacheLocationsSince(locationCount)
+		v.Crashes, crashCount = e.crashes.Since(crashCount)
+		if now := clock.Now(); len(v.Loads) > 0 || len(v.CacheLocations) > 0 || len(v.Crashes) > 0 || now.Sub(lastSent) >= maxViewInterval {
 			lastSent = now
 			sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 			err := c.SendView(sendCtx, v)
@@ -198,7 +198,7 @@
 			continue
 		}
 		l := n.load
-		v.Loads = append(v.Loads, wire.TargetLoad{Target: b, Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens, Gap: n.eventInterval})
+		v.Loads = append(v.Loads, wire.TargetLoad{Target: b, Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens, EventInterval: n.eventInterval})
 		sent[b] = n
 		if l == (registry.Load{}) {
 			delete(sent, b)
@@ -275,14 +275,14 @@
 
 func (e *Exchange) apply(v wire.View) {
 	now := clock.Now()
-	for _, p := range v.Places {
+	for _, p := range v.CacheLocations {
 		e.cacheLocations.Heard(recall.Place{Subject: p.Subject, Engine: p.Engine}, now)
 	}
-	e.applyCrashes(v.Deaths, now)
+	e.applyCrashes(v.Crashes, now)
 	for _, l := range v.Loads {
 		if m := e.targets.Boot(l.Target); m != nil {
 			m.Work().SetOther(v.Node, registry.Load{Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens})
-			m.Pace().Heard(v.Node, l.Gap, now)
+			m.Pace().Heard(v.Node, l.EventInterval, now)
 		}
 	}
 }
--- a/relay/asker.go
+++ b/relay/asker.go
@@ -94,12 +94,12 @@
 
 // Whole asks for the whole table, in the range that the peer reads.
 func (a *Asker) Whole(ctx context.Context, _ platform.Range) (platform.Page, error) {
-	return a.askNext(ctx, wire.Question{Table: a.Table, Whole: true, Proof: a.Proof})
+	return a.askNext(ctx, wire.Question{Table: a.Table, Whole: true, WantsAsOf: a.Proof})
 }
 
 // Changes asks for rows that changed after a version.
 func (a *Asker) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (platform.Page, error) {
-	return a.askNext(ctx, wire.Question{Table: a.Table, After: after, Wait: min(wait, a.Cache.maxWait), Proof: a.Proof})
+	return a.askNext(ctx, wire.Question{Table: a.Table, After: after, Wait: min(wait, a.Cache.maxWait), WantsAsOf: a.Proof})
 }
 
 // Drop closes the connection.
@@ -181,14 +181,14 @@
 	}
 	var noteCount uint64
 	if a.Notes != nil {
-		q.Places, noteCount = a.Notes.Fresh()
+		q.CacheLocations, noteCount = a.Notes.Fresh()
 	}
 	askedAt := clock.Now()
 	answer, err := a.conn.Ask(ctx, q)
 	if err != nil {
 		return platform.Page{}, err
 	}
-	if answer.State == wire.AnswerBehind {
+	if answer.State == wire.AnswerStale {
 		return platform.Page{}, errPeerStale
 	}
 	if a.Notes != nil {
@@ -197,7 +197,7 @@
 	switch answer.State {
 	case wire.AnswerMissed:
 		return platform.Page{}, discovery.ErrMissed
-	case wire.AnswerLarge:
+	case wire.AnswerTooLarge:
 		return platform.Page{}, errAnswerTooLarge
 	}
 	return a.pageOf(answer, askedAt), nil
@@ -207,13 +207,13 @@
 // counts times from the receipt of the question, so that counting them from
 // askedAt never makes the table look younger than it is.
 func (a *Asker) pageOf(answer wire.Answer, askedAt clock.Time) platform.Page {
-	p := platform.Page{Version: answer.Version, Relayed: true, Proved: askedAt.Add(answer.Proved)}
-	if answer.Away != 0 {
-		p.Away = askedAt.Add(answer.Away)
+	p := platform.Page{Version: answer.Version, Relayed: true, Proved: askedAt.Add(answer.AsOf)}
+	if answer.UnavailableAt != 0 {
+		p.Away = askedAt.Add(answer.UnavailableAt)
 	}
 	for _, r := range answer.Rows {
-		row := platform.StoredRow{RowID: platform.RowID{Table: a.Table, Key: r.Key}, Value: r.Value, Version: r.Version, Deleted: r.Gone}
-		if r.Bad {
+		row := platform.StoredRow{RowID: platform.RowID{Table: a.Table, Key: r.Key}, Value: r.Value, Version: r.Version, Deleted: r.Deleted}
+		if r.Unreadable {
 			row.Err = errUnreadableRow
 		}
 		p.Rows = append(p.Rows, row)
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -212,21 +212,21 @@
 func (c *Cache) answer(q wire.Question, received, knownAsOf clock.Time) (a wire.Answer, isNew bool, updated <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wantsAsOf = c.wantsAsOf || q.Proof
+	c.wantsAsOf = c.wantsAsOf || q.WantsAsOf
 	switch {
 	case c.failingSince != 0 && (c.rows == nil || clock.Now().Sub(c.failingSince) > storeFailureGrace):
-		return wire.Answer{State: wire.AnswerBehind}, true, c.updated
+		return wire.Answer{State: wire.AnswerStale}, true, c.updated
 	case c.rows == nil || clock.Now().Sub(c.asOf) > time.Duration(maxAgeWaits*float64(c.maxWait)):
-		return wire.Answer{State: wire.AnswerBehind}, false, c.updated
+		return wire.Answer{State: wire.AnswerStale}, false, c.updated
 	case !q.Whole && q.After < c.minVersion:
 		return wire.Answer{State: wire.AnswerMissed}, true, c.updated
 	}
-	a = wire.Answer{Version: c.version, Proved: c.asOf.Sub(received)}
+	a = wire.Answer{Version: c.version, AsOf: c.asOf.Sub(received)}
 	if c.unavailableAt != 0 {
-		a.Away = c.unavailableAt.Sub(received)
+		a.UnavailableAt = c.unavailableAt.Sub(received)
 	}
 	a.Rows = c.rowsFor(q)
-	isNew = q.Whole || q.Proof && c.asOf > knownAsOf || c.changedSince(q.After)
+	isNew = q.Whole || q.WantsAsOf && c.asOf > knownAsOf || c.changedSince(q.After)
 	return a, isNew, c.updated
 }
 
@@ -247,7 +247,7 @@
 	var out []wire.TableRow
 	for _, h := range c.rows {
 		if q.Whole && !h.row.Deleted || !q.Whole && h.sendVersion > q.After {
-			out = append(out, wire.TableRow{Key: h.row.Key, Value: h.row.Value, Version: h.row.Version, Gone: h.row.Deleted, Bad: h.row.Err != nil})
+			out = append(out, wire.TableRow{Key: h.row.Key, Value: h.row.Value, Version: h.row.Version, Deleted: h.row.Deleted, Unreadable: h.row.Err != nil})
 		}
 	}
 	slices.SortFunc(out, func(a, b wire.TableRow) int { return cmp.Compare(a.Version, b.Version) })
--- a/relay/cache_test.go
+++ b/relay/cache_test.go
@@ -39,7 +39,7 @@
 	}
 )
 
-var answerStates = map[string]wire.AnswerState{"": wire.AnswerGood, "missed": wire.AnswerMissed, "stale": wire.AnswerBehind}
+var answerStates = map[string]wire.AnswerState{"": wire.AnswerOK, "missed": wire.AnswerMissed, "stale": wire.AnswerStale}
 
 func TestCache(t *testing.T) {
 	b, err := os.ReadFile("testdata/cache.yaml")
@@ -87,13 +87,13 @@
 }
 
 func answeredRows(a wire.Answer) []string {
-	if a.State != wire.AnswerGood {
+	if a.State != wire.AnswerOK {
 		return nil
 	}
 	out := []string{}
 	for _, r := range a.Rows {
 		value := string(r.Value)
-		if r.Gone {
+		if r.Deleted {
 			value = "deleted"
 		}
 		out = append(out, r.Key+" "+value)
--- a/relay/server.go
+++ b/relay/server.go
@@ -68,11 +68,11 @@
 func (s *Server) Answer(ctx context.Context, q wire.Question, received clock.Time) wire.Answer {
 	c := s.Tables[q.Table]
 	if c == nil || s.Leaving() {
-		return wire.Answer{State: wire.AnswerBehind}
+		return wire.Answer{State: wire.AnswerStale}
 	}
 	c.noteQuestion(received)
 	if s.Keep != nil {
-		s.Keep(q.Places)
+		s.Keep(q.CacheLocations)
 	}
 	wait := q.Wait
 	if !c.IsLoaded() {
@@ -84,7 +84,7 @@
 	for {
 		a, isNew, updated := c.answer(q, received, knownAsOf)
 		if rowsSize(a) > maxAnswerSize {
-			return wire.Answer{State: wire.AnswerLarge}
+			return wire.Answer{State: wire.AnswerTooLarge}
 		}
 		if isNew || s.Leaving() {
 			return a
@@ -94,7 +94,7 @@
 		case <-t.C:
 			return a
 		case <-ctx.Done():
-			return wire.Answer{State: wire.AnswerBehind}
+			return wire.Answer{State: wire.AnswerStale}
 		}
 	}
 }
--- a/wire/loan.go
+++ b/wire/loan.go
@@ -8,18 +8,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// LoanPath is where an entry instance lends repeats to others.
+// LoanPath is where an entry instance lends retries out of its budget to peers.
 const LoanPath = "/v1/loan"
 
 const (
-	// maxLoan bounds a loan's frame, and maxRepeats what one may ask for.
+	// maxLoan bounds a frame in bytes, and maxRetries the retries of a loan.
 	maxLoan    = 1 << 10
-	maxRepeats = 64
+	maxRetries = 64
 )
 
 type (
-	// Loan asks an instance for repeats of a service out of its budget, or says
-	// how many it gives. One is answered after the other on a connection.
+	// Loan is a request for retries out of a peer's retry budget for a service, or
+	// the number that the peer grants. A connection carries one request at a time.
 	Loan struct {
 		Service string
 		Repeats int
@@ -43,24 +43,24 @@
 	if err := cbor.Unmarshal(b, &f); err != nil {
 		return Loan{}, fmt.Errorf("%w: %v", ErrBadFrame, err)
 	}
-	if f.N < 0 || f.N > maxRepeats {
-		return Loan{}, fmt.Errorf("%w: loan of %d repeats", ErrBadFrame, f.N)
+	if f.N < 0 || f.N > maxRetries {
+		return Loan{}, fmt.Errorf("%w: loan of %d retries", ErrBadFrame, f.N)
 	}
 	return Loan{Service: f.S, Repeats: f.N}, nil
 }
 
-// DialLoan connects to the instance at addr (host:port) to borrow of it.
+// DialLoan connects to the instance at addr (host:port) to borrow retries.
 func DialLoan(ctx context.Context, addr string) (*Conn, error) {
 	return dial(ctx, addr, LoanPath, maxLoan)
 }
 
-// AcceptLoan takes a connection of an instance that borrows.
+// AcceptLoan accepts a connection of a peer that borrows retries.
 func AcceptLoan(w http.ResponseWriter, r *http.Request) (*Conn, error) {
 	return accept(w, r, maxLoan)
 }
 
-// Borrow asks for a loan and returns how many repeats are lent. After an error
-// the connection is of no more use.
+// Borrow asks for a loan and returns how many retries are granted. After an error the
+// connection cannot be used any more.
 func (c *Conn) Borrow(ctx context.Context, l Loan) (int, error) {
 	if err := c.SendLoan(ctx, l); err != nil {
 		return 0, err
--- a/wire/table.go
+++ b/wire/table.go
@@ -9,72 +9,70 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TablePath is where an entry instance answers others that ask for what it has
-// read of the store's tables.
+// TablePath is where an entry instance answers questions of peers for tables of the
+// store.
 const TablePath = "/v1/table"
 
 const (
-	// maxQuestion bounds a question; some hundred places fit.
+	// maxQuestion and maxAnswer bound frames in bytes.
 	maxQuestion = 64 << 10
-	// maxAnswer bounds an answer: the store sends at most 1 MB of a table in
-	// one call, and the targets of the size expected in two years are 150 kB.
-	maxAnswer = 8 << 20
-	// maxWait is the longest that a question may wait for changes, and maxAge
-	// the oldest knowledge that may be told: both far beyond what is of use.
+	maxAnswer   = 8 << 20
+	// maxWait bounds the wait of a question, and maxAge the age of an answer's
+	// times. Values beyond them are errors of the sender.
 	maxWait = 30 * time.Second
 	maxAge  = 24 * time.Hour
 )
 
 // States of an Answer.
 const (
-	// AnswerGood: the rows hold.
-	AnswerGood AnswerState = iota
-	// AnswerMissed: the changes asked for are no longer known; the table has to
-	// be read whole.
+	// AnswerOK: the rows answer the question.
+	AnswerOK AnswerState = iota
+	// AnswerMissed: the instance no longer has all changes after the version; the
+	// asking instance has to read the whole table.
 	AnswerMissed
-	// AnswerBehind: the instance does not know the table well enough to answer.
-	AnswerBehind
-	// AnswerLarge: the rows are too many to be told to everybody by one
-	// instance; the asker has to read them from the store.
-	AnswerLarge
+	// AnswerStale: the instance holds no current table.
+	AnswerStale
+	// AnswerTooLarge: the rows exceed the size limit; the asking instance has to read
+	// them from the store.
+	AnswerTooLarge
 )
 
 type (
-	// AnswerState says what an Answer is.
+	// AnswerState is the result of a Question.
 	AnswerState uint8
 
-	// Question asks an instance for a table of the store. One is answered
-	// after the other on a connection.
+	// Question asks an instance for a table of the store. A connection carries one
+	// question at a time.
 	Question struct {
-		Table string
-		Whole bool          // all rows; otherwise those changed after a version
-		After int64         // that version
-		Wait  time.Duration // how long to wait for changes
-		Proof bool          // answer also when the table is known to be complete up to a later moment
-		// Places are where the asker has had prompts read since its last question,
-		// for whoever reads the store for it to keep there.
-		Places []Place
-	}
-
-	// Answer is what the instance knows. Its times are relative to the moment
-	// at which it received the question, so that the asker can count them from
-	// the moment at which it asked, on its own clock: that makes knowledge look
-	// older, if anything, however long either of them stands still.
+		Table     string
+		Whole     bool          // all rows; otherwise the rows changed after a version
+		After     int64         // the version
+		Wait      time.Duration // how long to wait for changes
+		WantsAsOf bool          // answer also when only the answer's AsOf has advanced
+		// CacheLocations holds those that the asking instance has recorded since its
+		// last question. The peer writes them to the store.
+		CacheLocations []Place
+	}
+
+	// Answer answers a Question. Its times are relative to the receipt of the
+	// question. The asking instance counts them from the time at which it sent the
+	// question, on its own clock, so that pauses of either instance can only make
+	// the table look older than it is.
 	Answer struct {
-		State   AnswerState
-		Version int64
-		Proved  time.Duration // up to when the table is known to be complete
-		Away    time.Duration // when the store last did not answer; 0: never
-		Rows    []TableRow
+		State         AnswerState
+		Version       int64
+		AsOf          time.Duration // time up to which the table is complete
+		UnavailableAt time.Duration // when the store was last unavailable; 0: never
+		Rows          []TableRow
 	}
 
 	// TableRow is a row of a table.
 	TableRow struct {
-		Key     string
-		Value   []byte
-		Version int64
-		Gone    bool
-		Bad     bool // its value cannot be read
+		Key        string
+		Value      []byte
+		Version    int64
+		Deleted    bool
+		Unreadable bool // the value cannot be decoded
 	}
 
 	questionFrame struct {
@@ -84,7 +82,7 @@
 		A int64
 		D int64 // milliseconds
 		P bool
-		N []placeFrame
+		N []cacheLocationFrame
 	}
 
 	answerFrame struct {
@@ -108,7 +106,7 @@
 
 // EncodeQuestion maps a question to its CBOR frame.
 func EncodeQuestion(q Question) ([]byte, error) {
-	return cbor.Marshal(questionFrame{T: q.Table, W: q.Whole, A: q.After, D: q.Wait.Milliseconds(), P: q.Proof, N: encodePlaces(q.Places)})
+	return cbor.Marshal(questionFrame{T: q.Table, W: q.Whole, A: q.After, D: q.Wait.Milliseconds(), P: q.WantsAsOf, N: encodeCacheLocations(q.CacheLocations)})
 }
 
 // DecodeQuestion maps a CBOR frame to a question; errors wrap ErrBadFrame.
@@ -120,14 +118,14 @@
 	if f.D < 0 || f.D > maxWait.Milliseconds() {
 		return Question{}, fmt.Errorf("%w: wait of %d ms", ErrBadFrame, f.D)
 	}
-	return Question{Table: f.T, Whole: f.W, After: f.A, Wait: time.Duration(f.D) * time.Millisecond, Proof: f.P, Places: decodePlaces(f.N)}, nil
+	return Question{Table: f.T, Whole: f.W, After: f.A, Wait: time.Duration(f.D) * time.Millisecond, WantsAsOf: f.P, CacheLocations: decodeCacheLocations(f.N)}, nil
 }
 
 // EncodeAnswer maps an answer to its CBOR frame.
 func EncodeAnswer(a Answer) ([]byte, error) {
-	f := answerFrame{S: uint8(a.State), V: a.Version, P: a.Proved.Microseconds(), A: a.Away.Microseconds()}
+	f := answerFrame{S: uint8(a.State), V: a.Version, P: a.AsOf.Microseconds(), A: a.UnavailableAt.Microseconds()}
 	for _, r := range a.Rows {
-		f.R = append(f.R, rowFrame{K: r.Key, V: r.Version, G: r.Gone, B: r.Bad, X: r.Value})
+		f.R = append(f.R, rowFrame{K: r.Key, V: r.Version, G: r.Deleted, B: r.Unreadable, X: r.Value})
 	}
 	return cbor.Marshal(f)
 }
@@ -138,18 +136,18 @@
 	if err := cbor.Unmarshal(b, &f); err != nil {
 		return Answer{}, fmt.Errorf("%w: %v", ErrBadFrame, err)
 	}
-	if f.S > uint8(AnswerLarge) {
+	if f.S > uint8(AnswerTooLarge) {
 		return Answer{}, fmt.Errorf("%w: state %d", ErrBadFrame, f.S)
 	}
 	if f.P > maxWait.Microseconds() || f.A > maxWait.Microseconds() {
-		return Answer{}, fmt.Errorf("%w: knowledge from the future", ErrBadFrame)
+		return Answer{}, fmt.Errorf("%w: time in the future", ErrBadFrame)
 	}
 	if f.P < -maxAge.Microseconds() || f.A < -maxAge.Microseconds() {
-		return Answer{}, fmt.Errorf("%w: knowledge of %d us ago", ErrBadFrame, -min(f.P, f.A))
+		return Answer{}, fmt.Errorf("%w: time of %d us ago", ErrBadFrame, -min(f.P, f.A))
 	}
-	a := Answer{State: AnswerState(f.S), Version: f.V, Proved: time.Duration(f.P) * time.Microsecond, Away: time.Duration(f.A) * time.Microsecond}
+	a := Answer{State: AnswerState(f.S), Version: f.V, AsOf: time.Duration(f.P) * time.Microsecond, UnavailableAt: time.Duration(f.A) * time.Microsecond}
 	for _, r := range f.R {
-		a.Rows = append(a.Rows, TableRow{Key: r.K, Value: r.X, Version: r.V, Gone: r.G, Bad: r.B})
+		a.Rows = append(a.Rows, TableRow{Key: r.K, Value: r.X, Version: r.V, Deleted: r.G, Unreadable: r.B})
 	}
 	return a, nil
 }
@@ -159,13 +157,13 @@
 	return dial(ctx, addr, TablePath, maxAnswer)
 }
 
-// AcceptTable takes a connection of an instance that asks for tables.
+// AcceptTable accepts a connection of a peer that asks for tables.
 func AcceptTable(w http.ResponseWriter, r *http.Request) (*Conn, error) {
 	return accept(w, r, maxQuestion)
 }
 
 // Ask sends a question and waits for its answer. After an error the connection
-// is of no more use: a late answer might be taken for the next one's.
+// cannot be used any more: a late answer would be taken for that to the next question.
 func (c *Conn) Ask(ctx context.Context, q Question) (Answer, error) {
 	b, err := EncodeQuestion(q)
 	if err != nil {
@@ -180,7 +178,7 @@
 	return DecodeAnswer(b)
 }
 
-// RecvQuestion reads one question.
+// RecvQuestion reads a question.
 func (c *Conn) RecvQuestion(ctx context.Context) (Question, error) {
 	b, err := c.read(ctx)
 	if err != nil {
@@ -189,7 +187,7 @@
 	return DecodeQuestion(b)
 }
 
-// SendAnswer writes one answer.
+// SendAnswer writes an answer.
 func (c *Conn) SendAnswer(ctx context.Context, a Answer) error {
 	b, err := EncodeAnswer(a)
 	if err != nil {
--- a/wire/table_test.go
+++ b/wire/table_test.go
@@ -14,14 +14,14 @@
 var (
 	questions = []Question{
 		{Table: "servers", Whole: true},
-		{Table: "op", After: 912, Wait: 800 * time.Millisecond, Proof: true},
-		{Table: "op", Places: []Place{{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 1767312000123)}}},
+		{Table: "op", After: 912, Wait: 800 * time.Millisecond, WantsAsOf: true},
+		{Table: "op", CacheLocations: []Place{{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 1767312000123)}}},
 	}
 	answers = []Answer{
-		{State: AnswerBehind},
-		{Version: 912, Proved: -1200 * time.Millisecond, Away: -5 * time.Second, Rows: []TableRow{
-			{Key: "i-1", Value: []byte(`{"service":"llm"}`), Version: 911}, {Key: "i-2", Version: 912, Gone: true}, {Key: "i-3", Version: 900, Bad: true}}},
-		{Version: 913, Proved: 3 * time.Millisecond},
+		{State: AnswerStale},
+		{Version: 912, AsOf: -1200 * time.Millisecond, UnavailableAt: -5 * time.Second, Rows: []TableRow{
+			{Key: "i-1", Value: []byte(`{"service":"llm"}`), Version: 911}, {Key: "i-2", Version: 912, Deleted: true}, {Key: "i-3", Version: 900, Unreadable: true}}},
+		{Version: 913, AsOf: 3 * time.Millisecond},
 	}
 )
 
@@ -42,14 +42,14 @@
 	}
 }
 
-// What cannot be true is no answer: its rows would be taken for knowledge.
-func TestTableRefuses(t *testing.T) {
+// Frames with impossible states or times are rejected.
+func TestTableRejects(t *testing.T) {
 	for name, a := range map[string]Answer{
-		"state":       {State: 9},
-		"later":       {Proved: time.Minute},
-		"away later":  {Away: time.Minute},
-		"too old":     {Proved: -25 * time.Hour},
-		"away before": {Away: -25 * time.Hour},
+		"state":               {State: 9},
+		"later":               {AsOf: time.Minute},
+		"unavailable later":   {UnavailableAt: time.Minute},
+		"too old":             {AsOf: -25 * time.Hour},
+		"unavailable too old": {UnavailableAt: -25 * time.Hour},
 	} {
 		b, err := EncodeAnswer(a)
 		require.NoError(t, err)
@@ -62,9 +62,8 @@
 	assert.True(t, errors.Is(err, ErrBadFrame))
 }
 
-// FuzzTable feeds arbitrary frames to DecodeQuestion and DecodeAnswer: they must
-// refuse or decode, never panic, and what they decode must encode back to the
-// same.
+// DecodeQuestion and DecodeAnswer never panic on arbitrary frames, and decoded values
+// encode to equal ones.
 func FuzzTable(f *testing.F) {
 	for _, q := range questions {
 		b, _ := EncodeQuestion(q)
--- a/wire/view.go
+++ b/wire/view.go
@@ -12,52 +12,50 @@
 	"github.com/ragworthitch/ragworthitch/poison"
 )
 
-// ViewPath is where an entry instance takes the views of others. Its number
-// rises when frames change, so that instances of two versions don't misread
-// each other.
+// ViewPath is where an entry instance receives the views of its peers. The version in
+// the path rises when the frames change incompatibly.
 const ViewPath = "/v2/view"
 
-// maxView bounds one view; a thousand targets fit.
+// maxView bounds a frame in bytes; a thousand targets fit.
 const maxView = 128 << 10
 
 type (
-	// View is what one entry instance has at the targets, or what of that
-	// has changed since its last view on the same connection. One message a
-	// frame, nothing is answered.
+	// View reports the load of an entry instance at the targets, as changes since
+	// its last view on the same connection. Views are not answered.
 	View struct {
-		Node   string
-		Loads  []TargetLoad
-		Places []Place
-		Deaths []poison.Death
+		Node           string
+		Loads          []TargetLoad
+		CacheLocations []Place
+		Crashes        []poison.Death
 	}
 
-	// Place says at which engine the instance has had a prompt read.
+	// Place is a cache location: the engine that holds a prompt's KV cache.
 	Place struct {
 		Subject string // the last part of the prompt
 		Engine  ragworthitch.Boot
 	}
 
-	// TargetLoad is one instance's work at one target; all zero when it has
-	// none any more.
+	// TargetLoad is the load of an instance at a target. All numbers are zero when
+	// the instance has no more calls there.
 	TargetLoad struct {
 		Target  ragworthitch.Boot
-		Prefill int // prompt tokens sent and not yet read
-		Later   int // the same of calls that yield to others there
+		Prefill int // prompt tokens whose prefill has not ended
+		Later   int // the same for calls that yield to others at the target
 		Running int // calls in progress
-		Tokens  int // memory its calls and copies take there, in tokens
-		// Gap is how far apart the instance sees events of runs there; 0 if
-		// it has seen none of late.
-		Gap time.Duration
+		Tokens  int // KV cache of the instance's calls and replicas, in tokens
+		// EventInterval is the event interval of streams at the target, as the instance
+		// sees it; 0: no recent events.
+		EventInterval time.Duration
 	}
 
 	viewFrame struct {
-		N string       `cbor:"1,keyasint"`
-		L []loadFrame  `cbor:"2,keyasint,omitempty"`
-		P []placeFrame `cbor:"3,keyasint,omitempty"`
-		D []deathFrame `cbor:"4,keyasint,omitempty"`
+		N string               `cbor:"1,keyasint"`
+		L []loadFrame          `cbor:"2,keyasint,omitempty"`
+		P []cacheLocationFrame `cbor:"3,keyasint,omitempty"`
+		D []crashFrame         `cbor:"4,keyasint,omitempty"`
 	}
 
-	deathFrame struct {
+	crashFrame struct {
 		_ struct{} `cbor:",toarray"`
 		F []byte
 		T string
@@ -70,7 +68,7 @@
 		A bool
 	}
 
-	placeFrame struct {
+	cacheLocationFrame struct {
 		_ struct{} `cbor:",toarray"`
 		S string
 		T string
@@ -93,21 +91,21 @@
 func EncodeView(v View) ([]byte, error) {
 	f := viewFrame{N: v.Node}
 	for _, l := range v.Loads {
-		f.L = append(f.L, loadFrame{T: l.Target.ID(), B: l.Target.Started(), P: l.Prefill, L: l.Later, R: l.Running, K: l.Tokens, G: l.Gap.Microseconds()})
+		f.L = append(f.L, loadFrame{T: l.Target.ID(), B: l.Target.Started(), P: l.Prefill, L: l.Later, R: l.Running, K: l.Tokens, G: l.EventInterval.Microseconds()})
 	}
-	f.P, f.D = encodePlaces(v.Places), encodeDeaths(v.Deaths)
+	f.P, f.D = encodeCacheLocations(v.CacheLocations), encodeCrashes(v.Crashes)
 	return cbor.Marshal(f)
 }
 
-func encodeDeaths(deaths []poison.Death) []deathFrame {
-	var out []deathFrame
-	for _, d := range deaths {
-		out = append(out, deathFrame{F: d.Print[:], T: d.Boot.ID(), B: d.Boot.Started(), C: d.Call, A: d.Together, W: d.Well, O: d.Org, S: d.Service, V: d.Version})
+func encodeCrashes(crashes []poison.Death) []crashFrame {
+	var out []crashFrame
+	for _, d := range crashes {
+		out = append(out, crashFrame{F: d.Print[:], T: d.Boot.ID(), B: d.Boot.Started(), C: d.Call, A: d.Together, W: d.Well, O: d.Org, S: d.Service, V: d.Version})
 	}
 	return out
 }
 
-func decodeDeaths(frames []deathFrame) ([]poison.Death, error) {
+func decodeCrashes(frames []crashFrame) ([]poison.Death, error) {
 	var out []poison.Death
 	for _, f := range frames {
 		if len(f.F) != len(poison.Fingerprint{}) {
@@ -118,15 +116,15 @@
 	return out, nil
 }
 
-func encodePlaces(places []Place) []placeFrame {
-	var out []placeFrame
-	for _, p := range places {
-		out = append(out, placeFrame{S: p.Subject, T: p.Engine.ID(), B: p.Engine.Started()})
+func encodeCacheLocations(locations []Place) []cacheLocationFrame {
+	var out []cacheLocationFrame
+	for _, p := range locations {
+		out = append(out, cacheLocationFrame{S: p.Subject, T: p.Engine.ID(), B: p.Engine.Started()})
 	}
 	return out
 }
 
-func decodePlaces(frames []placeFrame) []Place {
+func decodeCacheLocations(frames []cacheLocationFrame) []Place {
 	var out []Place
 	for _, f := range frames {
 		out = append(out, Place{Subject: f.S, Engine: ragworthitch.NewBoot(f.T, f.B)})
@@ -142,11 +140,11 @@
 	}
 	v := View{Node: f.N}
 	for _, l := range f.L {
-		v.Loads = append(v.Loads, TargetLoad{Target: ragworthitch.NewBoot(l.T, l.B), Prefill: l.P, Later: l.L, Running: l.R, Tokens: l.K, Gap: time.Duration(l.G) * time.Microsecond})
+		v.Loads = append(v.Loads, TargetLoad{Target: ragworthitch.NewBoot(l.T, l.B), Prefill: l.P, Later: l.L, Running: l.R, Tokens: l.K, EventInterval: time.Duration(l.G) * time.Microsecond})
 	}
-	v.Places = decodePlaces(f.P)
+	v.CacheLocations = decodeCacheLocations(f.P)
 	var err error
-	if v.Deaths, err = decodeDeaths(f.D); err != nil {
+	if v.Crashes, err = decodeCrashes(f.D); err != nil {
 		return View{}, err
 	}
 	return v, nil
@@ -157,12 +155,12 @@
 	return dial(ctx, addr, ViewPath, maxView)
 }
 
-// AcceptView takes a connection of an instance that sends its views.
+// AcceptView accepts a connection of a peer that sends its views.
 func AcceptView(w http.ResponseWriter, r *http.Request) (*Conn, error) {
 	return accept(w, r, maxView)
 }
 
-// SendView writes one view.
+// SendView writes a view.
 func (c *Conn) SendView(ctx context.Context, v View) error {
 	b, err := EncodeView(v)
 	if err != nil {
@@ -171,7 +169,7 @@
 	return c.write(ctx, b)
 }
 
-// RecvView reads one view.
+// RecvView reads a view.
 func (c *Conn) RecvView(ctx context.Context) (View, error) {
 	b, err := c.read(ctx)
 	if err != nil {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,16 +1,17 @@
-// Package wire is the protocol between our own processes: WebSocket carrying
-// one CBOR message a frame. Entry instances and agents exchange Messages;
-// entry instances send one another Views of what they have at the targets.
+// Package wire implements the protocol between the processes of a deployment:
+// WebSocket connections with one CBOR message per frame. Entry instances and agents
+// exchange Messages. Entry instances send each other Views of their load at the
+// targets, Questions for tables of the store, and Loans of retries.
 //
-// An entry dials an agent at ws://AGENT/v1/wire and keeps the connection.
-// The entry sends Start (a generation or its resume from a prefix), Call (a
-// plain service call) and Cancel; the agent answers with Token, Done, Fail
-// and Result, and sends Load reports on its own. Every message about a
-// request carries its request id and attempt number; Start and Call carry
-// the fencing number (the agent's lease epoch) the entry saw.
+// An entry instance dials an agent at ws://AGENT/v1/wire and keeps the connection.
+// The instance sends Start (a generation, or its continuation after a prefix), Call (a
+// plain service call) and Cancel. The agent answers with Token, Done, Fail and Result,
+// and sends Load reports on its own. Every message about a request carries the request
+// ID and the number of the attempt. Start and Call carry the fencing number, the epoch
+// of the agent's lease that the instance has seen.
 //
-// Messages are plain Go structs; the CBOR frame is mapped by hand so the
-// wire format does not follow the Go names.
+// Messages are plain Go structs. They are mapped to CBOR frames by hand, so that the
+// wire format does not depend on Go names.
 package wire
 
 import (
@@ -36,24 +37,25 @@
 	TypeLoad
 )
 
-// Path is where an agent serves the protocol.
+// Path is where an agent accepts connections of entry instances.
 const Path = "/v1/wire"
 
-// maxFrame bounds one message; a resume prefix of MaxTokens fits.
+// maxFrame bounds a message in bytes; a prefix of MaxTokens fits.
 const maxFrame = 4 << 20
 
 var (
-	// ErrClosed is returned once the connection is gone.
+	// ErrClosed is returned when a connection cannot be opened or has failed.
 	ErrClosed = errors.New("wire: connection closed")
-	// ErrBadFrame is returned for a frame that does not decode.
+	// ErrBadFrame is returned for a frame that cannot be decoded.
 	ErrBadFrame = errors.New("wire: bad frame")
 )
 
 type (
-	// Type says what a message is.
+	// Type is the type of a Message.
 	Type uint8
 
-	// Message is one protocol message; which fields count depends on Type.
+	// Message is a message between an entry instance and an agent. Type determines
+	// which fields are used.
 	Message struct {
 		Type      Type
 		RequestID string
@@ -80,7 +82,7 @@
 
 		// Fail
 		Reason string
-		NotRun bool // the order was refused before it reached the target
+		NotRun bool // the attempt was rejected before it reached the target
 
 		// Load
 		Running int
@@ -89,7 +91,7 @@
 		Healthy bool
 	}
 
-	// frame is the CBOR shape of a Message, with small integer keys.
+	// frame is the CBOR form of a Message, with small integer keys.
 	frame struct {
 		T   uint8    `cbor:"1,keyasint"`
 		ID  string   `cbor:"2,keyasint,omitempty"`
@@ -115,8 +117,8 @@
 		H   bool     `cbor:"22,keyasint,omitempty"`
 	}
 
-	// Conn is one protocol connection; Send is safe for concurrent use,
-	// Recv is for one reader.
+	// Conn is a connection. Its methods that send are safe for concurrent use, those
+	// that receive are not.
 	Conn struct {
 		ws *websocket.Conn
 		mu sync.Mutex
@@ -167,7 +169,7 @@
 		return Message{}, fmt.Errorf("%w: unknown type %d", ErrBadFrame, f.T)
 	}
 	if len(f.Pre) == 0 {
-		f.Pre = nil // an empty prefix is no prefix: one form for one meaning
+		f.Pre = nil // an empty prefix equals none
 	}
 	return Message{
 		Type: Type(f.T), RequestID: f.ID, Attempt: f.A, Fencing: f.F,
@@ -203,7 +205,7 @@
 	return &Conn{ws: ws}, nil
 }
 
-// Send writes one message.
+// Send writes a message.
 func (c *Conn) Send(ctx context.Context, m Message) error {
 	b, err := Encode(m)
 	if err != nil {
@@ -212,7 +214,7 @@
 	return c.write(ctx, b)
 }
 
-// Recv reads one message.
+// Recv reads a message.
 func (c *Conn) Recv(ctx context.Context) (Message, error) {
 	b, err := c.read(ctx)
 	if err != nil {
@@ -221,12 +223,12 @@
 	return Decode(b)
 }
 
-// Close ends the connection.
+// Close closes the connection with a closing handshake.
 func (c *Conn) Close() error {
 	return c.ws.Close(websocket.StatusNormalClosure, "")
 }
 
-// CloseNow drops the connection without a closing handshake.
+// CloseNow closes the connection without a closing handshake.
 func (c *Conn) CloseNow() error { return c.ws.CloseNow() }
 
 func (c *Conn) read(ctx context.Context) ([]byte, error) {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejects(t *testing.T) {
 	_, err := Decode([]byte{0xff, 0x00})
 	assert.True(t, errors.Is(err, ErrBadFrame))
 	b, _ := Encode(Message{Type: 99})
@@ -37,8 +37,8 @@
 	assert.True(t, errors.Is(err, ErrBadFrame))
 }
 
-// BenchmarkToken measures one token frame's encode and decode, and its
-// size on the wire (before WebSocket framing, 2 to 6 bytes more).
+// BenchmarkToken measures the encoding, decoding and size of a token frame, without
+// the WebSocket framing.
 func BenchmarkToken(b *testing.B) {
 	m := Message{Type: TypeToken, RequestID: "rimac-long-012", Attempt: 1, Offset: 812, Text: "t1f2e3"}
 	var n int
@@ -52,7 +52,7 @@
 	b.ReportMetric(float64(n), "bytes/frame")
 }
 
-// BenchmarkLoad measures one load report frame.
+// BenchmarkLoad measures the encoding, decoding and size of a load frame.
 func BenchmarkLoad(b *testing.B) {
 	m := Message{Type: TypeLoad, Running: 31, Waiting: 4, AtMs: 1700000000000, Healthy: true, Fencing: 12}
 	var n int
@@ -66,8 +66,8 @@
 	b.ReportMetric(float64(n), "bytes/frame")
 }
 
-// FuzzDecode feeds arbitrary frames to Decode: it must refuse or decode,
-// never panic, and what it decodes must encode back to the same message.
+// Decode never panics on arbitrary frames, and a decoded message encodes to an equal
+// one.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		{Type: TypeToken, RequestID: "r", Attempt: 1, Offset: 3, Text: "t"},
@@ -96,9 +96,9 @@
 func TestViewRoundTrip(t *testing.T) {
 	for _, v := range []View{
 		{Node: "a"},
-		{Node: "a", Loads: []TargetLoad{{Target: ragworthitch.NewBoot("i-1", 1767312000123), Prefill: 8200, Later: 300, Running: 3, Tokens: 27000, Gap: 29040 * time.Microsecond}, {Target: ragworthitch.NewBoot("i-2", 0)}},
-			Places: []Place{{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 1767312000123)}},
-			Deaths: []poison.Death{{Print: poison.Of("o", "POST", "h", "/p", nil), Boot: ragworthitch.NewBoot("i-1", 1767312000123), Call: "c", Together: true, Well: 3, Org: "o", Service: "llm", Version: "v1"}}},
+		{Node: "a", Loads: []TargetLoad{{Target: ragworthitch.NewBoot("i-1", 1767312000123), Prefill: 8200, Later: 300, Running: 3, Tokens: 27000, EventInterval: 29040 * time.Microsecond}, {Target: ragworthitch.NewBoot("i-2", 0)}},
+			CacheLocations: []Place{{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 1767312000123)}},
+			Crashes:        []poison.Death{{Print: poison.Of("o", "POST", "h", "/p", nil), Boot: ragworthitch.NewBoot("i-1", 1767312000123), Call: "c", Together: true, Well: 3, Org: "o", Service: "llm", Version: "v1"}}},
 	} {
 		b, err := EncodeView(v)
 		require.NoError(t, err)
@@ -106,7 +106,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, v, got)
 	}
-	short, err := cbor.Marshal(viewFrame{N: "a", D: []deathFrame{{F: []byte{1}, T: "i-1"}}})
+	short, err := cbor.Marshal(viewFrame{N: "a", D: []crashFrame{{F: []byte{1}, T: "i-1"}}})
 	require.NoError(t, err)
 	for _, b := range [][]byte{{0xff, 0x00}, short} {
 		_, err := DecodeView(b)
