--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,8 +1,7 @@
-// Package upstream holds the HTTP/1.1 connections to one target. Each
-// connection carries one request at a time and nothing is ever sent twice
-// behind the caller's back: net/http's own pool replays a request when an
-// idle connection turns out dead, which a call that may run only once does
-// not allow.
+// Package upstream pools the HTTP/1.1 connections to a target. Each connection
+// carries one request at a time, and the pool never resends a request. The pool
+// of net/http does so when an idle connection turns out to be closed, which is
+// unsafe for calls that may run only once.
 package upstream
 
 import (
@@ -21,30 +20,28 @@
 )
 
 const (
-	// DialTimeout ends an attempt to connect. It is 30 times the round trip
-	// between zones, and short of a lost SYN's first repeat (1 s): another
-	// target is tried sooner than that.
+	// DialTimeout is shorter than the first SYN retransmission (1 s), so that
+	// the caller tries another target before then.
 	DialTimeout = 150 * time.Millisecond
 
-	// defaultIdle is how long an idle connection is kept where the target
-	// does not say how long it keeps it.
-	defaultIdle = 4 * time.Second
-	// idleMargin is left before the time at which the target itself closes
-	// an idle connection: a request must not cross that close.
-	idleMargin = 1 * time.Second
-	maxIdle    = 20 * time.Second
+	// defaultIdleTime applies to targets that send no Keep-Alive header.
+	defaultIdleTime = 4 * time.Second
+	// idleMargin is how long before the target's own idle timeout a connection
+	// is dropped, so that no request meets the target's close.
+	idleMargin  = 1 * time.Second
+	maxIdleTime = 20 * time.Second
 
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
 )
 
 var (
-	// ErrNotSent means that no byte of the request left: the target cannot
+	// ErrNotSent means that no byte of the request was sent: the target cannot
 	// have run it.
-	ErrNotSent = errors.New("upstream: not sent")
-	// ErrSent means that the request left, in part at least, and no whole
-	// answer came back: the target may have run it.
-	ErrSent = errors.New("upstream: sent, no whole answer")
+	ErrNotSent = errors.New("upstream: request not sent")
+	// ErrSent means that at least a part of the request was sent and no complete
+	// response was received: the target may have run it.
+	ErrSent = errors.New("upstream: request sent, response incomplete")
 
 	transport = &http.Transport{
 		DialContext:        dial,
@@ -55,68 +52,66 @@
 )
 
 type (
-	// Pool is the connections to one target. Make one with NewPool.
+	// Pool holds the connections to one target. Create it with NewPool.
 	Pool struct {
 		addr string
 		max  int
 
 		mu     sync.Mutex
-		idle   []*conn // the last used one at the end
+		idle   []*conn // most recently used last
 		open   int
 		closed bool
 	}
 
 	conn struct {
-		pool  *Pool
-		http  *http.ClientConn
-		sock  *countedConn
-		since clock.Time // idle since
-		keep  time.Duration
+		pool      *Pool
+		http      *http.ClientConn
+		sock      *countedConn
+		idleSince clock.Time
+		maxIdle   time.Duration
 	}
 
-	// countedConn counts the bytes that the kernel took.
+	// countedConn counts the bytes that the kernel accepted.
 	countedConn struct {
 		net.Conn
-		mu    sync.Mutex // held while a write is under way
-		taken int64
+		mu      sync.Mutex // held during a write
+		written int64
 	}
 
-	dialKey struct{}
+	socketKey struct{}
 
-	// body gives the connection back to its pool when the answer has been
-	// read whole, and closes it otherwise.
+	// body is a response body whose Close returns the connection to its pool if
+	// the body was read to its end, and closes the connection otherwise.
 	body struct {
 		io.ReadCloser
-		conn  *conn
-		whole bool
-		done  bool
+		pooled   *conn
+		complete bool
+		released bool
 	}
 )
 
-// Write counts what the kernel took: nothing of a write on a connection that
-// was reset before.
 func (c *countedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, err := c.Conn.Write(b)
-	c.taken += int64(n)
+	c.written += int64(n)
 	return n, err
 }
 
-// written is how many bytes the kernel took. It waits for a write that is
-// under way, so that after the connection was closed the count is final.
-func (c *countedConn) written() int64 {
+// bytesWritten returns how many bytes the kernel accepted. It waits for a write in
+// progress, so that the count is final once the connection is closed.
+func (c *countedConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.taken
+	return c.written
 }
 
-// NewPool returns a pool for the target at addr with at most max open
-// connections (0: no limit).
+// NewPool returns a pool for the target at addr (host:port) with at most max
+// connections; 0 means no limit.
 func NewPool(addr string, max int) *Pool { return &Pool{addr: addr, max: max} }
 
-// Limit sets how many open connections there may be; 0 changes nothing. Those
-// that are open stay.
+// Limit sets the maximum number of open connections. Connections that are
+// already open stay, and a max of 0 changes nothing.
 func (p *Pool) Limit(max int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,59 +120,59 @@
 	}
 }
 
-// Addr is the target's ip:port.
+// Addr returns the target's host:port.
 func (p *Pool) Addr() string { return p.addr }
 
-// Open is the number of open connections.
+// Open returns the number of open connections.
 func (p *Pool) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Do sends req once and returns the answer's head. The connection is used
-// again only after the answer's body was read to its end and Reuse was not
-// refused with Discard. Errors wrap ErrNotSent or ErrSent.
+// Do sends req once and returns the response with its body unread. The
+// connection is reused once the body was read to its end and closed, unless
+// Discard was called. Errors wrap ErrNotSent or ErrSent.
 func (p *Pool) Do(req *http.Request) (*http.Response, error) {
-	c, err := p.take(req.Context())
+	c, err := p.acquire(req.Context())
 	if err != nil {
 		return nil, err
 	}
-	before := c.sock.written()
+	before := c.sock.bytesWritten()
 	resp, err := c.http.RoundTrip(req)
 	if err != nil {
 		c.close()
-		if c.sock.written() == before {
+		if c.sock.bytesWritten() == before {
 			return nil, fmt.Errorf("%w: %v", ErrNotSent, err)
 		}
 		return nil, fmt.Errorf("%w: %v", ErrSent, err)
 	}
-	c.keep = keepFor(resp.Header)
-	resp.Body = &body{ReadCloser: resp.Body, conn: c}
+	c.maxIdle = maxIdleTimeOf(resp.Header)
+	resp.Body = &body{ReadCloser: resp.Body, pooled: c}
 	return resp, nil
 }
 
-// Discard closes the connection of an answer that does not belong to the
-// request sent on it: what follows on it is no answer to anything.
+// Discard closes the connection of a response that does not belong to the
+// request sent on it.
 func Discard(resp *http.Response) {
-	if b, ok := resp.Body.(*body); ok && !b.done {
-		b.done = true
-		b.conn.close()
+	if b, ok := resp.Body.(*body); ok && !b.released {
+		b.released = true
+		b.pooled.close()
 	}
 }
 
-// Probe reports whether the target takes connections: nil when it does. The
-// connection is kept for the next request.
+// Probe connects to the target and keeps the connection for the next request.
 func (p *Pool) Probe(ctx context.Context) error {
 	c, err := p.connect(ctx)
 	if err != nil {
 		return err
 	}
-	p.put(c)
+	p.release(c)
 	return nil
 }
 
-// Close closes the idle connections; those in use end with their answers.
+// Close closes the idle connections. Those in use are closed when their
+// responses end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -185,7 +180,7 @@
 	p.DropIdle()
 }
 
-// DropIdle closes the idle connections: the target may have gone silent.
+// DropIdle closes the idle connections, for a target that may be unreachable.
 func (p *Pool) DropIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -196,13 +191,13 @@
 	}
 }
 
-func (p *Pool) take(ctx context.Context) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context) (*conn, error) {
 	now := clock.Now()
 	p.mu.Lock()
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Sub(c.since) < c.keep && c.http.Err() == nil {
+		if now.Sub(c.idleSince) < c.maxIdle && c.http.Err() == nil {
 			p.mu.Unlock()
 			return c, nil
 		}
@@ -221,21 +216,21 @@
 	}
 	p.open++
 	p.mu.Unlock()
-	dctx, cancel := context.WithTimeout(ctx, DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
 	var sock *countedConn
-	hc, err := transport.NewClientConn(context.WithValue(dctx, dialKey{}, &sock), "http", p.addr)
+	hc, err := transport.NewClientConn(context.WithValue(dialCtx, socketKey{}, &sock), "http", p.addr)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
 		p.mu.Unlock()
 		return nil, fmt.Errorf("%w: %v", ErrNotSent, err)
 	}
-	return &conn{pool: p, http: hc, sock: sock, keep: defaultIdle}, nil
+	return &conn{pool: p, http: hc, sock: sock, maxIdle: defaultIdleTime}, nil
 }
 
-func (p *Pool) put(c *conn) {
-	c.since = clock.Now()
+func (p *Pool) release(c *conn) {
+	c.idleSince = clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || c.http.Err() != nil {
@@ -253,32 +248,29 @@
 	c.http.Close()
 }
 
-// Read notes the end of the answer.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
 
-// Close gives the connection back, or closes it if the answer was not read
-// to its end.
 func (b *body) Close() error {
-	if b.done {
+	if b.released {
 		return nil
 	}
-	b.done = true
-	if !b.whole {
-		b.conn.close()
+	b.released = true
+	if !b.complete {
+		b.pooled.close()
 		return nil
 	}
 	err := b.ReadCloser.Close()
-	b.conn.pool.put(b.conn)
+	b.pooled.pool.release(b.pooled)
 	return err
 }
 
-// dial connects and leaves the connection where connect asked for it.
+// dial connects and stores the connection where the socketKey value of ctx points.
 func dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := net.Dialer{Control: DialControl}
 	nc, err := d.DialContext(ctx, network, addr)
@@ -286,23 +278,23 @@
 		return nil, err
 	}
 	c := &countedConn{Conn: nc}
-	if p, ok := ctx.Value(dialKey{}).(**countedConn); ok {
+	if p, ok := ctx.Value(socketKey{}).(**countedConn); ok {
 		*p = c
 	}
 	return c, nil
 }
 
-// keepFor is how long a connection may stay idle, from the answer's
-// Keep-Alive header.
-func keepFor(h http.Header) time.Duration {
+// maxIdleTimeOf returns how long a connection may stay idle by the Keep-Alive header
+// of a response.
+func maxIdleTimeOf(h http.Header) time.Duration {
 	for f := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(f), "timeout=")
 		if !ok {
 			continue
 		}
 		if s, err := strconv.Atoi(v); err == nil && s >= 0 {
-			return min(max(time.Duration(s)*time.Second-idleMargin, 0), maxIdle)
+			return min(max(time.Duration(s)*time.Second-idleMargin, 0), maxIdleTime)
 		}
 	}
-	return defaultIdle
+	return defaultIdleTime
 }
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -24,7 +24,7 @@
 	return req
 }
 
-// get makes one call and reads its answer whole.
+// get sends a request and reads its response to the end.
 func get(t *testing.T, p *Pool, path string) (string, error) {
 	resp, err := p.Do(request(t, t.Context(), p.Addr(), path))
 	if err != nil {
@@ -48,7 +48,7 @@
 	return NewPool(strings.TrimPrefix(srv.URL, "http://"), 3), &conns
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	p, conns := serve(t, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.URL.Path) })
 	for i := range 5 {
 		got, err := get(t, p, fmt.Sprint("/", i))
@@ -61,8 +61,8 @@
 	assert.Equal(t, 0, p.Open())
 }
 
-// A connection whose answer was not read to its end, or did not belong to
-// the request, is not used again.
+// A connection is not reused if its response was not read to the end or was
+// discarded.
 func TestConnectionIsDropped(t *testing.T) {
 	p, conns := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, strings.Repeat("x", 100_000)) })
 	resp, err := p.Do(request(t, t.Context(), p.Addr(), "/"))
@@ -77,8 +77,7 @@
 	assert.Equal(t, 1, p.Open())
 }
 
-// A request is never sent a second time behind the caller's back, and an
-// error tells whether the first one left.
+// The pool never resends a request, and the error says whether it was sent.
 func TestErrorsTellWhetherSent(t *testing.T) {
 	var calls atomic.Int64
 	p, _ := serve(t, func(http.ResponseWriter, *http.Request) {
@@ -97,8 +96,7 @@
 	assert.True(t, errors.Is(err, ErrNotSent), "%v", err)
 }
 
-// An idle connection that the target closed is not used; the call goes out on
-// a new one.
+// A request is not sent on an idle connection that the target has closed.
 func TestClosedIdleConnection(t *testing.T) {
 	p, conns := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	_, err := get(t, p, "/")
@@ -130,22 +128,21 @@
 	assert.True(t, errors.Is(err, ErrNotSent), "%v", err)
 }
 
-func TestKeepFor(t *testing.T) {
+func TestMaxIdleTime(t *testing.T) {
 	for v, want := range map[string]time.Duration{
-		"": defaultIdle, "timeout=5": 4 * time.Second, "max=100, timeout=3": 2 * time.Second,
-		"timeout=0": 0, "timeout=x": defaultIdle, "timeout=3600": maxIdle,
+		"": defaultIdleTime, "timeout=5": 4 * time.Second, "max=100, timeout=3": 2 * time.Second,
+		"timeout=0": 0, "timeout=x": defaultIdleTime, "timeout=3600": maxIdleTime,
 	} {
-		assert.Equal(t, want, keepFor(http.Header{"Keep-Alive": {v}}), v)
+		assert.Equal(t, want, maxIdleTimeOf(http.Header{"Keep-Alive": {v}}), v)
 	}
 }
 
-// resetConn is a connection that the other side resets when it is told to.
+// resetConn fails writes with ECONNRESET once reset is set.
 type resetConn struct {
 	net.Conn
 	reset atomic.Bool
 }
 
-// Write sends nothing once the connection is reset.
 func (c *resetConn) Write(b []byte) (int, error) {
 	if c.reset.Load() {
 		return 0, syscall.ECONNRESET
@@ -153,8 +150,8 @@
 	return c.Conn.Write(b)
 }
 
-// An idle connection that was reset, and not noticed yet, takes no byte of
-// the request: the call was not sent.
+// A request on an idle connection whose reset was not noticed yet counts as not
+// sent.
 func TestResetIdleConnection(t *testing.T) {
 	p, _ := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	var conn *resetConn
--- a/upstream/sockets.go
+++ b/upstream/sockets.go
@@ -7,20 +7,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// deadPeerTimeout ends a connection whose peer has not acknowledged what was
-// sent for so long: a machine without power or behind a partition sends no
-// reset, and the kernel alone would try for many minutes.
-const deadPeerTimeout = 2 * time.Second
+// unacknowledgedTimeout closes a connection whose peer acknowledges nothing. A machine
+// that lost power or is behind a network partition sends no reset, and the
+// kernel's default is many minutes.
+const unacknowledgedTimeout = 2 * time.Second
 
-// DialControl, for a net.Dialer, sets deadPeerTimeout and short keep-alive probes on a new
-// socket, so that a silent peer is noticed on idle connections too.
+// DialControl sets unacknowledgedTimeout on a new socket. Use it as the Control of a
+// net.Dialer.
 func DialControl(_, _ string, c syscall.RawConn) error {
-	var serr error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		serr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadPeerTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return serr
+	return sockErr
 }
