--- a/logs/bounded.go
+++ b/logs/bounded.go
@@ -10,51 +10,47 @@
 )
 
 const (
-	// pendingLines is how many lines wait for a slow reader of the output;
-	// at some 300 bytes each they take 600 kB at most.
-	pendingLines = 2000
-	// linesPerSecond bounds the volume; a busy instance writes some 60
-	// lines a second, a failing one several times that. Lines about what
-	// went well get usualLines of them, so that a failure finds room.
-	linesPerSecond = 500
-	usualLines     = 300
-	flushTime      = 200 * time.Millisecond
+	// maxPendingLines bounds the lines that wait for a slow reader of the output.
+	maxPendingLines = 2000
+	// maxLinesPerSecond bounds the lines of all levels, and
+	// maxInfoLinesPerSecond those of level info, so that warnings and errors find room.
+	maxLinesPerSecond     = 500
+	maxInfoLinesPerSecond = 300
+	flushTimeout          = 200 * time.Millisecond
 )
 
-// usualLevel is how zerolog writes the level of a line that reports no
-// failure.
-var usualLevel = []byte(`"level":"info"`)
+// infoLevel is the level field of an info line as zerolog writes it.
+var infoLevel = []byte(`"level":"info"`)
 
-// isUsual reports whether a line reports no failure.
-func isUsual(line []byte) bool { return bytes.Contains(line, usualLevel) }
+func isInfo(line []byte) bool { return bytes.Contains(line, infoLevel) }
 
-// bounded hands lines to one goroutine that writes them. A line that finds
-// no room, or is over the rate, is dropped and counted.
-type bounded struct {
+// boundedWriter queues lines for a goroutine that writes them. It drops and counts
+// lines that exceed the queue or the rate.
+type boundedWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
-	count   func()
+	onDrop  func()
 
-	mu     sync.Mutex
-	second int64
-	sent   int
+	mu       sync.Mutex
+	second   int64
+	accepted int
 }
 
-// Bounded returns a writer to w that never blocks and passes on a bounded
-// number of lines a second; a line with the count of dropped ones follows
-// when there is room again. count, unless nil, is called for each line that w
-// does not get. flush waits a little for what is pending.
-func Bounded(w io.Writer, count func()) (out io.Writer, flush func()) {
-	if count == nil {
-		count = func() {}
+// Bounded returns a writer that never blocks and passes a bounded number of
+// lines a second to w. After dropped lines it writes a line with their count. It
+// calls count, unless nil, for each dropped line. flush closes the writer and
+// waits a short time for pending lines.
+func Bounded(w io.Writer, onDrop func()) (out io.Writer, flush func()) {
+	if onDrop == nil {
+		onDrop = func() {}
 	}
-	b := &bounded{lines: make(chan []byte, pendingLines), count: count}
+	b := &boundedWriter{lines: make(chan []byte, maxPendingLines), onDrop: onDrop}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for line := range b.lines {
 			if _, err := w.Write(line); err != nil {
-				b.drop() // nobody else is left to be told
+				b.drop()
 			}
 			if n := b.dropped.Swap(0); n > 0 {
 				fmt.Fprintf(w, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"logs: lines dropped\"}\n", n)
@@ -69,20 +65,20 @@
 		close(lines)
 		select {
 		case <-done:
-		case <-time.After(flushTime):
+		case <-time.After(flushTimeout):
 		}
 	}
 }
 
-// Write takes one line.
-func (b *bounded) Write(line []byte) (int, error) {
+// Write queues one line.
+func (b *boundedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now := time.Now().Unix(); now != b.second {
-		b.second, b.sent = now, 0
+		b.second, b.accepted = now, 0
 	}
-	b.sent++
-	if b.sent > linesPerSecond || b.lines == nil || b.sent > usualLines && isUsual(line) {
+	b.accepted++
+	if b.accepted > maxLinesPerSecond || b.lines == nil || b.accepted > maxInfoLinesPerSecond && isInfo(line) {
 		b.drop()
 		return len(line), nil
 	}
@@ -94,7 +90,7 @@
 	return len(line), nil
 }
 
-func (b *bounded) drop() {
+func (b *boundedWriter) drop() {
 	b.dropped.Add(1)
-	b.count()
+	b.onDrop()
 }
--- a/logs/bounded_test.go
+++ b/logs/bounded_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowWriter takes no line until it is released.
+// slowWriter blocks writes until release is closed.
 type slowWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -32,15 +32,15 @@
 	return w.b.String()
 }
 
-// Lines of failures still find room when the usual ones have used theirs.
-func TestFailuresFindRoom(t *testing.T) {
+// Warnings pass when info lines have used up their share of the rate.
+func TestWarningsPassInfoLimit(t *testing.T) {
 	w := &slowWriter{release: make(chan struct{})}
 	close(w.release)
 	out, flush := Bounded(w, nil)
 	for time.Now().Nanosecond() > int(700*time.Millisecond) {
-		time.Sleep(10 * time.Millisecond) // not across two seconds
+		time.Sleep(10 * time.Millisecond) // the writes must fall into one second
 	}
-	for i := range 2 * linesPerSecond {
+	for i := range 2 * maxLinesPerSecond {
 		fmt.Fprintf(out, "{\"level\":\"info\",\"n\":%d}\n", i)
 		if i%100 == 99 {
 			fmt.Fprintf(out, "{\"level\":\"warn\",\"n\":%d}\n", i)
@@ -49,30 +49,30 @@
 	last := fmt.Sprintf(`{"level":"warn","n":%d}`, 399)
 	require.Eventually(t, func() bool { return strings.Contains(w.String(), last) }, 5*time.Second, time.Millisecond)
 	flush()
-	usual := strings.Count(w.String(), `"level":"info"`)
-	assert.LessOrEqual(t, usual, usualLines)
-	assert.GreaterOrEqual(t, usual, usualLines-10)
+	infoLines := strings.Count(w.String(), `"level":"info"`)
+	assert.LessOrEqual(t, infoLines, maxInfoLinesPerSecond)
+	assert.GreaterOrEqual(t, infoLines, maxInfoLinesPerSecond-10)
 	for _, n := range []int{99, 199, 299, 399} {
 		assert.Contains(t, w.String(), fmt.Sprintf(`{"level":"warn","n":%d}`, n))
 	}
 }
 
-// A reader that does not read never blocks who logs, and what was dropped is
-// counted in a line.
+// A blocked output never blocks the logging caller, and a line reports how many
+// lines were dropped.
 func TestBoundedNeverBlocks(t *testing.T) {
 	slow := &slowWriter{release: make(chan struct{})}
-	var counted atomic.Int64
-	out, flush := Bounded(slow, func() { counted.Add(1) })
-	begun := time.Now()
-	for i := range 5 * pendingLines {
+	var dropped atomic.Int64
+	out, flush := Bounded(slow, func() { dropped.Add(1) })
+	start := time.Now()
+	for i := range 5 * maxPendingLines {
 		fmt.Fprintf(out, "line %d\n", i)
 	}
-	require.Less(t, time.Since(begun), time.Second)
+	require.Less(t, time.Since(start), time.Second)
 	close(slow.release)
 	require.Eventually(t, func() bool { return strings.Contains(slow.String(), `"dropped":`) }, time.Second, time.Millisecond)
 	flush()
 	assert.Contains(t, slow.String(), "line 0\n")
-	assert.LessOrEqual(t, strings.Count(slow.String(), "line "), 2*linesPerSecond)
-	assert.Positive(t, counted.Load())
+	assert.LessOrEqual(t, strings.Count(slow.String(), "line "), 2*maxLinesPerSecond)
+	assert.Positive(t, dropped.Load())
 	fmt.Fprintln(out, "after the end") // dropped, not a panic
 }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,9 +1,9 @@
 // Package logs sets up the structured JSON logs of every process.
 //
 // Each line carries the process name, its zone and a UTC timestamp with
-// microseconds, so the lines of all processes sort into one time line
-// (see the timeline subcommand). Messages are short sentences that start
-// with a fixed prefix for the part that wrote them ("entry: ...").
+// microseconds, so that the lines of all processes sort into one timeline
+// (see the timeline subcommand). Messages start with a prefix for the component
+// that wrote them ("entry: ...").
 package logs
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 )
 
-// TimeFormat is the timestamp layout of every log line; it sorts as text.
+// TimeFormat is the timestamp layout of every log line; timestamps sort as text.
 const TimeFormat = "2006-01-02T15:04:05.000000Z07:00"
 
 func init() {
@@ -22,8 +22,8 @@
 	zerolog.TimestampFunc = func() time.Time { return time.Now().UTC() }
 }
 
-// New returns the logger of one process, writing JSON lines to w (stderr
-// when w is nil).
+// New returns the logger of a process, which writes JSON lines to w, or to
+// stderr if w is nil. The level defaults to info.
 func New(w io.Writer, process, zone, level string) zerolog.Logger {
 	if w == nil {
 		w = os.Stderr
--- a/logs/story.go
+++ b/logs/story.go
@@ -12,61 +12,61 @@
 	"time"
 )
 
-// lookBack is how long before a request's first line a belief may have
-// changed that decided it; what is older was in force for all.
-const lookBack = 10 * time.Second
+// stateLookBack is how long before a request's first line Story includes changes of
+// process state.
+const stateLookBack = 10 * time.Second
 
-// beliefs are the prefixes of lines that change what a process believes; a
-// request's story holds those of the processes and targets it touched.
-var beliefs = []string{"health:", "discovery:", "desired:", "instance:"}
+// statePrefixes are the message prefixes of lines that report a change of process
+// state. Story includes those of the request's processes and targets.
+var statePrefixes = []string{"health:", "discovery:", "desired:", "instance:"}
 
-// crashes is the prefix of lines on requests that crash targets; a request's story
-// holds those on all its tries, whenever and wherever they were written.
-const crashes = "poison:"
+// crashPrefix is the message prefix of lines on poison requests. Story includes all
+// lines with the request's fingerprint, at any time and of any process.
+const crashPrefix = "poison:"
 
-// record is one log line with all its fields.
+// record is a log line with all its fields.
 type record struct {
 	line
 	request, target string
-	fingerprint     string // of the request, the same for all its tries
-	rest            string // the other fields, NAME=VALUE, sorted
+	fingerprint     string // the same for all attempts of the request
+	fields          string // other fields as NAME=VALUE, sorted
 }
 
-// Story writes what the log files tell of one request, ordered by time: its
-// own lines with all their fields, and what the processes that served it came
-// to believe meanwhile of the targets it was sent to, of the desired state and
-// of the store, and what any of them knew of targets that crashed under its tries.
-// It returns the number of the request's own lines. Text before
-// a line's JSON is skipped.
+// Story writes the log lines that concern a request, ordered by time: the
+// request's own lines, marked with "*"; changes in the meantime, at the processes
+// that served the request, of the state of its targets, of the desired state and
+// of the store; and all lines on crashes of targets that ran the request. It
+// returns the number of the request's own lines, and skips text before the JSON
+// of a line.
 func Story(w io.Writer, request string, paths []string) (int, error) {
 	all, err := readRecords(paths)
 	if err != nil {
 		return 0, err
 	}
 	var own []record
-	targets, processes, prints := map[string]bool{"": true}, map[string]bool{}, map[string]bool{}
+	targets, processes, fingerprints := map[string]bool{"": true}, map[string]bool{}, map[string]bool{}
 	for _, r := range all {
 		if r.request == request {
 			own = append(own, r)
 			targets[r.target] = true
 			processes[r.process] = true
-			prints[r.fingerprint] = r.fingerprint != ""
+			fingerprints[r.fingerprint] = r.fingerprint != ""
 		}
 	}
 	if len(own) == 0 {
 		return 0, nil
 	}
-	first, last := before(own[0].time, lookBack), own[len(own)-1].time
+	first, last := earlier(own[0].time, stateLookBack), own[len(own)-1].time
 	bw := bufio.NewWriter(w)
 	for _, r := range all {
-		mine := r.request == request
-		belief := r.time >= first && r.time <= last && processes[r.process] && targets[r.target] && isBelief(r.message)
-		crash := prints[r.fingerprint] && strings.HasPrefix(r.message, crashes)
-		if !mine && !belief && !crash {
+		isOwn := r.request == request
+		isState := r.time >= first && r.time <= last && processes[r.process] && targets[r.target] && isStateChange(r.message)
+		isCrash := fingerprints[r.fingerprint] && strings.HasPrefix(r.message, crashPrefix)
+		if !isOwn && !isState && !isCrash {
 			continue
 		}
 		mark := " "
-		if mine {
+		if isOwn {
 			mark = "*"
 		}
 		r.write(bw, mark)
@@ -74,14 +74,12 @@
 	return len(own), bw.Flush()
 }
 
-// write writes the record with all its fields.
 func (r record) write(w io.Writer, mark string) {
-	fmt.Fprintf(w, "%s %s %s %s | %s\n", r.time, mark, r.process, r.message, r.rest)
+	fmt.Fprintf(w, "%s %s %s %s | %s\n", r.time, mark, r.process, r.message, r.fields)
 }
 
-// OfTarget writes the lines of all processes on one target, ordered by time: the calls
-// that it was sent, how they ended, and what was believed of it. It returns their
-// number.
+// OfTarget writes the lines of all processes on a target, ordered by time, and
+// returns their number.
 func OfTarget(w io.Writer, target string, paths []string) (int, error) {
 	all, err := readRecords(paths)
 	if err != nil {
@@ -98,8 +96,8 @@
 	return n, bw.Flush()
 }
 
-// before is the timestamp d earlier than at, or at if it cannot be read.
-func before(at string, d time.Duration) string {
+// earlier returns the timestamp d earlier than at, or at if it is malformed.
+func earlier(at string, d time.Duration) string {
 	t, err := time.Parse(TimeFormat, at)
 	if err != nil {
 		return at
@@ -107,8 +105,8 @@
 	return t.Add(-d).Format(TimeFormat)
 }
 
-func isBelief(message string) bool {
-	return slices.ContainsFunc(beliefs, func(p string) bool { return strings.HasPrefix(message, p) })
+func isStateChange(message string) bool {
+	return slices.ContainsFunc(statePrefixes, func(p string) bool { return strings.HasPrefix(message, p) })
 }
 
 // readRecords reads the JSON lines of all files, ordered by time.
@@ -136,7 +134,7 @@
 	return all, nil
 }
 
-// parseRecord parses a line; it reports false for one that is no log line.
+// parseRecord parses a line, and reports whether it is a JSON log line.
 func parseRecord(text string) (record, bool) {
 	i := strings.IndexByte(text, '{')
 	if i < 0 {
@@ -146,15 +144,15 @@
 	if json.Unmarshal([]byte(text[i:]), &m) != nil {
 		return record{}, false
 	}
-	take := func(k string) string {
+	remove := func(k string) string {
 		s, _ := m[k].(string)
 		delete(m, k)
 		return s
 	}
 	target, _ := m["target"].(string)
 	print, _ := m["fingerprint"].(string)
-	r := record{line: line{time: take("time"), process: take("process"), zone: take("zone"), level: take("level"), message: take("message")},
-		request: take("request"), target: target, fingerprint: print}
+	r := record{line: line{time: remove("time"), process: remove("process"), zone: remove("zone"), level: remove("level"), message: remove("message")},
+		request: remove("request"), target: target, fingerprint: print}
 	if r.time == "" {
 		return record{}, false
 	}
@@ -163,6 +161,6 @@
 		fields = append(fields, fmt.Sprintf("%s=%v", k, v))
 	}
 	sort.Strings(fields)
-	r.rest = strings.Join(fields, " ")
+	r.fields = strings.Join(fields, " ")
 	return r, true
 }
--- a/logs/timeline.go
+++ b/logs/timeline.go
@@ -6,14 +6,13 @@
 	"io"
 )
 
-// line is one parsed log line.
+// line holds the fields that every log line has.
 type line struct {
 	time, process, zone, level, message string
 }
 
-// Timeline reads the JSON log files and writes their lines to w ordered by
-// timestamp, one line each: TIME PROCESS ZONE LEVEL MESSAGE. Lines that are
-// not JSON logs are skipped.
+// Timeline writes the lines of JSON log files to w, ordered by timestamp, as
+// TIME PROCESS ZONE LEVEL MESSAGE. It skips lines that are not JSON logs.
 func Timeline(w io.Writer, paths []string) error {
 	all, err := readRecords(paths)
 	if err != nil {
