--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics gives each process a tally scope whose values are kept in
+// Package metrics provides the tally scope of a process. Its values are kept in
 // memory and served as JSON at /debug/metrics.
 package metrics
 
@@ -11,12 +11,12 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Interval is how often the scope hands its values to the reporter.
+// Interval is how often the scope reports its values.
 const Interval = 500 * time.Millisecond
 
 type (
-	// Reporter keeps the latest values of a tally scope: counters summed,
-	// gauges as last set, timers as count and sum.
+	// Reporter keeps the values of a tally scope: counters as sums, gauges as
+	// last set, timers as count, sum and maximum.
 	Reporter struct {
 		mu       sync.Mutex
 		counters map[string]int64
@@ -33,8 +33,8 @@
 	}
 )
 
-// New returns a root scope reporting to a new Reporter, and a func that
-// stops it.
+// New returns a root scope, the Reporter of its values, and a function that
+// reports pending values and stops the scope.
 func New(process string) (tally.Scope, *Reporter, func()) {
 	r := &Reporter{counters: map[string]int64{}, gauges: map[string]float64{}, timers: map[string]*timer{}}
 	s, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -45,7 +45,7 @@
 	return s, r, func() { closer.Close() }
 }
 
-// ReportCounter adds a counter's change.
+// ReportCounter adds v to a counter.
 func (r *Reporter) ReportCounter(name string, _ map[string]string, v int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +59,7 @@
 	r.gauges[name] = v
 }
 
-// ReportTimer adds one timing.
+// ReportTimer adds a duration to a timer.
 func (r *Reporter) ReportTimer(name string, _ map[string]string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,20 +74,20 @@
 	t.MaxMs = max(t.MaxMs, ms)
 }
 
-// ReportHistogramValueSamples is not kept.
+// ReportHistogramValueSamples does nothing: only histograms of durations are kept.
 func (r *Reporter) ReportHistogramValueSamples(string, map[string]string, tally.Buckets, float64, float64, int64) {
 }
 
-// Capabilities says the reporter reports, without tags.
+// Capabilities returns the reporter itself.
 func (r *Reporter) Capabilities() tally.Capabilities { return r }
 
-// Reporting is true.
+// Reporting returns true.
 func (r *Reporter) Reporting() bool { return true }
 
-// Tagging is false: tags are fixed per process.
+// Tagging returns false: tags are fixed for the process.
 func (r *Reporter) Tagging() bool { return false }
 
-// Flush does nothing; values are kept in memory.
+// Flush does nothing: values are kept in memory.
 func (r *Reporter) Flush() {}
 
 // ServeHTTP writes the values as JSON.
--- a/metrics/text.go
+++ b/metrics/text.go
@@ -9,13 +9,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// bucket is one bucket of a histogram.
+// bucket identifies a bucket of a histogram.
 type bucket struct {
 	name  string
 	upper time.Duration
 }
 
-// ReportHistogramDurationSamples adds samples of one bucket.
+// ReportHistogramDurationSamples adds n samples to a bucket.
 func (r *Reporter) ReportHistogramDurationSamples(name string, _ map[string]string, _ tally.Buckets, _, upper time.Duration, n int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,18 +25,18 @@
 	r.histograms[bucket{name, upper}] += n
 }
 
-// Text serves all values as lines of text: a name, labels and a number.
-// Histogram buckets are cumulative, with their upper bound in seconds as the
-// label le.
+// Text returns a handler that serves counters, gauges and histograms as lines of
+// text: a name, labels and a number. Histogram buckets are cumulative, with their
+// upper bound in seconds as the label le.
 func (r *Reporter) Text() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		for _, n := range sorted(r.counters) {
+		for _, n := range sortedKeys(r.counters) {
 			fmt.Fprintf(w, "%s %d\n", n, r.counters[n])
 		}
-		for _, n := range sorted(r.gauges) {
+		for _, n := range sortedKeys(r.gauges) {
 			fmt.Fprintf(w, "%s %g\n", n, r.gauges[n])
 		}
 		r.writeHistograms(w)
@@ -44,19 +44,19 @@
 }
 
 func (r *Reporter) writeHistograms(w http.ResponseWriter) {
-	bs := make([]bucket, 0, len(r.histograms))
+	buckets := make([]bucket, 0, len(r.histograms))
 	for b := range r.histograms {
-		bs = append(bs, b)
+		buckets = append(buckets, b)
 	}
-	sort.Slice(bs, func(i, j int) bool {
-		if bs[i].name != bs[j].name {
-			return bs[i].name < bs[j].name
+	sort.Slice(buckets, func(i, j int) bool {
+		if buckets[i].name != buckets[j].name {
+			return buckets[i].name < buckets[j].name
 		}
-		return bs[i].upper < bs[j].upper
+		return buckets[i].upper < buckets[j].upper
 	})
 	var sum int64
-	for i, b := range bs {
-		if i > 0 && bs[i-1].name != b.name {
+	for i, b := range buckets {
+		if i > 0 && buckets[i-1].name != b.name {
 			sum = 0
 		}
 		sum += r.histograms[b]
@@ -64,7 +64,7 @@
 	}
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
 	for n := range m {
 		out = append(out, n)
--- a/metrics/text_test.go
+++ b/metrics/text_test.go
@@ -11,16 +11,16 @@
 )
 
 func TestText(t *testing.T) {
-	scope, rep, stop := New("front-1")
+	scope, reporter, stop := New("front-1")
 	scope.Counter("answered").Inc(3)
 	h := scope.Histogram("plain_time", tally.DurationBuckets{10 * time.Millisecond, 100 * time.Millisecond})
 	h.RecordDuration(5 * time.Millisecond)
 	h.RecordDuration(7 * time.Millisecond)
 	h.RecordDuration(50 * time.Millisecond)
-	stop() // reports what is pending
+	stop() // reports pending values
 	w := httptest.NewRecorder()
-	rep.Text().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
-	var own []string // without tally's own figures
+	reporter.Text().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+	var own []string // without tally's internal metrics
 	for line := range strings.Lines(w.Body.String()) {
 		if strings.HasPrefix(line, "ragworthitch.") {
 			own = append(own, strings.TrimSpace(line))
