--- a/entry/agents.go
+++ b/entry/agents.go
@@ -17,86 +17,87 @@
 )
 
 const (
-	// dialTime bounds an attempt to connect to an agent.
-	dialTime = time.Second
-	// forgetLeases is how many lease times after its lease was last seen a
-	// target is forgotten.
-	forgetLeases = 3
-	// agentReport is the name under which an agent's word on its target's
-	// load stands beside this entry's own count.
-	agentReport = "agent"
+	dialTimeout = time.Second
+	// targetExpiryLeases is the time, in lease durations, after which a target
+	// without a valid lease is removed.
+	targetExpiryLeases = 3
+	// agentLoadSource names the load that an agent reports, as opposed to the
+	// load that this entry instance counts itself.
+	agentLoadSource = "agent"
 )
 
 type (
-	// target is a target as its lease row and its agent describe it.
+	// target is what the lease row and the agent of a target say about it.
 	target struct {
-		lease   agent.LeaseValue
-		seen    time.Time // when its lease was last read
-		link    *link     // nil while its agent is not connected
-		dialing bool
-		healthy bool // by the agent's last report
+		lease       agent.LeaseValue
+		leaseSeenAt time.Time  // when a valid lease row was last read
+		agentConn   *agentConn // nil while its agent is not connected
+		isDialing   bool
+		isHealthy   bool // by the agent's last report
 	}
 
-	// link is the connection to one agent and the orders that wait for its
-	// answers.
-	link struct {
+	// agentConn is the connection to one agent, with a queue of replies for
+	// each attempt in progress.
+	agentConn struct {
 		conn *wire.Conn
 
-		mu     sync.Mutex
-		orders map[orderKey]*queue.Queue[wire.Message]
+		mu      sync.Mutex
+		replies map[attemptKey]*queue.Queue[wire.Message]
 	}
 
-	orderKey struct {
+	attemptKey struct {
 		id      string
 		attempt int
 	}
 )
 
-// open returns the queue of the answers to an order.
-func (l *link) open(k orderKey) *queue.Queue[wire.Message] {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.orders == nil {
-		l.orders = map[orderKey]*queue.Queue[wire.Message]{}
+// open returns a new queue that receives the replies to an attempt.
+func (ac *agentConn) open(k attemptKey) *queue.Queue[wire.Message] {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	if ac.replies == nil {
+		ac.replies = map[attemptKey]*queue.Queue[wire.Message]{}
 	}
 	q := &queue.Queue[wire.Message]{}
-	l.orders[k] = q
+	ac.replies[k] = q
 	return q
 }
 
-func (l *link) close(k orderKey) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.orders, k)
+func (ac *agentConn) close(k attemptKey) {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	delete(ac.replies, k)
 }
 
-// deliver queues an answer for its order and reports whether one waits. It
-// never blocks, so a slow stream cannot hold up the others of the agent.
-func (l *link) deliver(m wire.Message) bool {
-	l.mu.Lock()
-	q := l.orders[orderKey{m.RequestID, m.Attempt}]
-	l.mu.Unlock()
+// deliver queues a reply for its attempt and reports whether the attempt is in
+// progress. It never blocks, so that a slow stream cannot delay the other
+// streams on the connection.
+func (ac *agentConn) deliver(m wire.Message) bool {
+	ac.mu.Lock()
+	q := ac.replies[attemptKey{m.RequestID, m.Attempt}]
+	ac.mu.Unlock()
 	if q != nil {
 		q.Push(m)
 	}
 	return q != nil
 }
 
-// failAll tells every order that the connection is gone.
-func (l *link) failAll() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for k, q := range l.orders {
+// failPending fails every attempt in progress on the connection.
+func (ac *agentConn) failPending() {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	for k, q := range ac.replies {
 		q.Push(wire.Message{Type: wire.TypeFail, RequestID: k.id, Attempt: k.attempt, Reason: "connection to the agent lost"})
 	}
 }
 
-// refresh rereads the lease rows and connects to new agents.
-func (e *Entry) refresh(ctx context.Context) {
-	rows, err := e.pf.List(ctx, agent.LeasePrefix)
+// refreshTargets reads the lease rows, connects to new agents and removes
+// targets whose lease has expired.
+func (e *Entry) refreshTargets(ctx context.Context) {
+	rows, err := e.store.List(ctx, agent.LeasePrefix)
 	if err != nil {
-		// The store is down: keep the targets we know, connections tell us
-		// of deaths.
+		// While the store is unavailable, the known targets stay; lost
+		// connections show which agents have crashed.
 		e.log.Debug().Err(err).Msg("entry: target list not refreshed")
 		return
 	}
@@ -104,160 +105,161 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range rows {
-		lv, err := agent.DecodeLease(r.Value)
+		lease, err := agent.DecodeLease(r.Value)
 		if err != nil {
-			e.log.Warn().Err(err).Str("key", r.Key).Msg("entry: lease row not understood; left out")
+			e.log.Warn().Err(err).Str("key", r.Key).Msg("entry: invalid lease row skipped")
 			continue
 		}
 		if !r.Expired {
-			e.seenLease(ctx, lv, now)
+			e.applyLease(ctx, lease, now)
 		}
 	}
 	for name, t := range e.targets {
-		if now.Sub(t.seen) <= forgetLeases*settings.Ms(e.cfg.Timeouts.LeaseMs) {
+		if now.Sub(t.leaseSeenAt) <= targetExpiryLeases*settings.Ms(e.cfg.Timeouts.LeaseMs) {
 			continue
 		}
-		if t.link != nil {
-			t.link.conn.CloseNow()
+		if t.agentConn != nil {
+			t.agentConn.conn.CloseNow()
 		}
 		delete(e.targets, name)
 	}
-	e.ready.Store(e.connected() > 0)
+	e.ready.Store(e.countConnected() > 0)
 }
 
-// seenLease takes a lease row over; e.mu is held.
-func (e *Entry) seenLease(ctx context.Context, lv agent.LeaseValue, now time.Time) {
-	t := e.targets[lv.Target]
+// applyLease stores a lease row and connects to its agent if there is no
+// connection. The caller holds e.mu.
+func (e *Entry) applyLease(ctx context.Context, lease agent.LeaseValue, now time.Time) {
+	t := e.targets[lease.Target]
 	if t == nil {
-		t = &target{healthy: true}
-		e.targets[lv.Target] = t
+		t = &target{isHealthy: true}
+		e.targets[lease.Target] = t
 	}
-	t.lease, t.seen = lv, now
+	t.lease, t.leaseSeenAt = lease, now
 	switch {
-	case t.link != nil:
-		e.members.Put(t.entry(), 0)
-	case !t.dialing:
-		t.dialing = true
-		go e.dial(ctx, lv.Target, lv.Agent)
+	case t.agentConn != nil:
+		e.members.Put(t.registryTarget(), 0)
+	case !t.isDialing:
+		t.isDialing = true
+		go e.dial(ctx, lease.Target, lease.Agent)
 	}
 }
 
-// entry is the target as the registry keeps it. One that its agent reports
-// unwell gets no new work, as one that drains.
-func (t *target) entry() ragworthitch.Target {
+// registryTarget converts the target for the registry. An unhealthy target is
+// marked as draining, so that it gets no new calls.
+func (t *target) registryTarget() ragworthitch.Target {
 	services := t.lease.Models
 	if t.lease.Kind != settings.KindEngine || len(services) == 0 {
 		services = []string{t.lease.Kind}
 	}
 	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: t.lease.Target, Service: services[0], Others: services[1:],
-		Address: t.lease.Agent, Zone: t.lease.Zone, Draining: t.lease.Draining || !t.healthy})
+		Address: t.lease.Agent, Zone: t.lease.Zone, Draining: t.lease.Draining || !t.isHealthy})
 }
 
-// connected is the number of agents connected; e.mu is held.
-func (e *Entry) connected() int {
+// countConnected returns the number of connected agents. The caller holds e.mu.
+func (e *Entry) countConnected() int {
 	n := 0
 	for _, t := range e.targets {
-		if t.link != nil {
+		if t.agentConn != nil {
 			n++
 		}
 	}
 	return n
 }
 
-// dial connects to an agent and reads its messages until the connection
-// ends. The target is registered for as long as it stands.
+// dial connects to an agent and reads its messages until the connection ends.
+// The target is registered while the connection is open.
 func (e *Entry) dial(ctx context.Context, name, addr string) {
-	dctx, cancel := context.WithTimeout(ctx, dialTime)
+	dctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	c, err := wire.Dial(dctx, addr)
 	cancel()
 	e.mu.Lock()
 	t := e.targets[name]
 	if t != nil {
-		t.dialing = false
+		t.isDialing = false
 	}
 	if err != nil || t == nil {
 		e.mu.Unlock()
 		if err == nil {
 			c.CloseNow()
 		} else {
-			e.log.Debug().Str("target", name).Err(err).Msg("entry: agent not reached")
+			e.log.Debug().Str("target", name).Err(err).Msg("entry: cannot connect to agent")
 		}
 		return
 	}
-	l := &link{conn: c}
-	t.link = l
-	e.members.Put(t.entry(), 0)
+	ac := &agentConn{conn: c}
+	t.agentConn = ac
+	e.members.Put(t.registryTarget(), 0)
 	e.mu.Unlock()
 	e.log.Info().Str("target", name).Msg("entry: connected to agent")
-	e.read(ctx, name, l)
-	e.unlink(name, l)
+	e.readMessages(ctx, name, ac)
+	e.disconnect(name, ac)
 	c.CloseNow()
-	l.failAll()
+	ac.failPending()
 	e.log.Info().Str("target", name).Msg("entry: connection to agent lost")
 }
 
-// unlink notes that the connection to a target's agent is gone, unless a new
-// one stands already.
-func (e *Entry) unlink(name string, l *link) {
+// disconnect unregisters a target whose agent connection has ended, unless a
+// newer connection is open.
+func (e *Entry) disconnect(name string, ac *agentConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := e.targets[name]
-	if t != nil && t.link != nil && t.link != l {
+	if t != nil && t.agentConn != nil && t.agentConn != ac {
 		return
 	}
 	if t != nil {
-		t.link = nil
+		t.agentConn = nil
 	}
 	e.members.Vanish(name, clock.Now(), 0)
 }
 
-// read hands an agent's messages on until its connection ends.
-func (e *Entry) read(ctx context.Context, name string, l *link) {
+// readMessages dispatches an agent's messages until the connection ends.
+func (e *Entry) readMessages(ctx context.Context, name string, ac *agentConn) {
 	for {
-		m, err := l.conn.Recv(ctx)
+		m, err := ac.conn.Recv(ctx)
 		if err != nil {
 			return
 		}
 		switch {
 		case m.Type == wire.TypeLoad:
-			e.reported(name, m)
-		case !l.deliver(m) && m.Type == wire.TypeToken:
+			e.applyLoadReport(name, m)
+		case !ac.deliver(m) && m.Type == wire.TypeToken:
 			e.stats.Discarded.Add(1)
 		}
 	}
 }
 
-// reported takes an agent's word on its target: whether it is well, and how
-// many requests it works on. The report is late, so this entry's own count
-// stands where it is higher.
-func (e *Entry) reported(name string, m wire.Message) {
+// applyLoadReport stores the health and the load that an agent reports for its
+// target. Reports lag, so the load of others is the reported load less this
+// entry instance's own count, and at least 0.
+func (e *Entry) applyLoadReport(name string, m wire.Message) {
 	e.mu.Lock()
-	if t := e.targets[name]; t != nil && t.link != nil && t.healthy != m.Healthy {
-		t.healthy = m.Healthy
-		e.members.Put(t.entry(), 0)
+	if t := e.targets[name]; t != nil && t.agentConn != nil && t.isHealthy != m.Healthy {
+		t.isHealthy = m.Healthy
+		e.members.Put(t.registryTarget(), 0)
 	}
 	e.mu.Unlock()
 	if member := e.members.ByID(name); member != nil {
 		others := max(0, m.Running+m.Waiting-member.Work().Own().Running)
-		member.Work().SetOther(agentReport, registry.Load{Running: others})
+		member.Work().SetOther(agentLoadSource, registry.Load{Running: others})
 	}
 }
 
-// linkTo returns the connection to a target's agent and the fencing number
-// that its orders carry. Errors wrap upstream.ErrNotSent.
-func (e *Entry) linkTo(name string) (*link, uint64, error) {
+// agentConnOf returns the connection to a target's agent and the fencing number
+// for messages to it. Errors wrap upstream.ErrNotSent.
+func (e *Entry) agentConnOf(name string) (*agentConn, uint64, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := e.targets[name]
-	if t == nil || t.link == nil {
+	if t == nil || t.agentConn == nil {
 		return nil, 0, fmt.Errorf("%w: agent of %s not connected", upstream.ErrNotSent, name)
 	}
-	return t.link, t.lease.Epoch, nil
+	return t.agentConn, t.lease.Epoch, nil
 }
 
-// KnowsAll reports whether the entry is connected to at least n agents.
+// KnowsAll reports whether the entry instance is connected to at least n agents.
 func (e *Entry) KnowsAll(n int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.connected() >= n
+	return e.countConnected() >= n
 }
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -14,9 +14,8 @@
 	"github.com/ragworthitch/ragworthitch/rwtest"
 )
 
-// BenchmarkResume measures resume latency: from an engine's death (its
-// connections dropped) to the next token of the answer, resumed on the
-// other engine from the delivered prefix.
+// BenchmarkResume measures the time from the crash of an engine to the next
+// token, from the other engine.
 func BenchmarkResume(b *testing.B) {
 	d := rwtest.StartDeployment(b, rwtest.DeploymentOptions{Engines: 2, StepMs: 2})
 	ctx := context.Background()
@@ -30,7 +29,7 @@
 		if _, _, err := s.Next(ctx, 40); err != nil {
 			b.Fatal(err)
 		}
-		n := len(mustTokens(b, s, 0))
+		n := len(nextTokens(b, s, 0))
 		for _, e := range d.Engines {
 			e.Kill()
 		}
@@ -43,13 +42,13 @@
 			b.Fatal(err)
 		}
 		total += time.Since(killed)
-		mustTokens(b, s, 0)
+		nextTokens(b, s, 0)
 		drain(b, s)
 	}
 	b.ReportMetric(float64(total.Microseconds())/1000/float64(b.N), "ms/resume")
 }
 
-func mustTokens(tb testing.TB, s interface {
+func nextTokens(tb testing.TB, s interface {
 	Next(context.Context, int) ([]ragworthitch.Token, bool, error)
 }, from int) []ragworthitch.Token {
 	toks, _, err := s.Next(context.Background(), from)
@@ -75,8 +74,8 @@
 	}
 }
 
-// BenchmarkShortUnderLongLoad measures short calls while long generations
-// stream through the same entry, against the same calls with no long load.
+// BenchmarkShortUnderLongLoad measures the latency of plain calls with and
+// without long generations through the same entry instance.
 func BenchmarkShortUnderLongLoad(b *testing.B) {
 	for _, long := range []int{0, 128} {
 		b.Run(fmt.Sprintf("long=%d", long), func(b *testing.B) {
@@ -90,7 +89,7 @@
 					b.Fatal(err)
 				}
 				wg.Add(1)
-				go func() { defer wg.Done(); drainCtx(ctx, s) }()
+				go func() { defer wg.Done(); drainUntilCancelled(ctx, s) }()
 			}
 			lat := make([]float64, 0, b.N)
 			b.ResetTimer()
@@ -111,7 +110,7 @@
 	}
 }
 
-func drainCtx(ctx context.Context, s interface {
+func drainUntilCancelled(ctx context.Context, s interface {
 	Next(context.Context, int) ([]ragworthitch.Token, bool, error)
 }) {
 	n := 0
@@ -124,9 +123,8 @@
 	}
 }
 
-// BenchmarkPathTokens measures the whole path's cost per delivered token
-// (engine stand-in, agent and entry in one process): CPU time and heap per
-// stream at two stream counts, for docs/CAPACITY.md.
+// BenchmarkPathTokens measures the CPU time per delivered token and the heap per
+// stream, with engine stand-in, agent and entry instance in one process.
 func BenchmarkPathTokens(b *testing.B) {
 	for _, streams := range []int{32, 128} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
@@ -166,8 +164,8 @@
 			cpu := cpuTime() - cpu0
 			b.ReportMetric(float64(cpu.Nanoseconds())/float64(tokens)/1000, "cpu-us/token")
 			if peak > heap0 {
-				// Finished streams are held for reconnects, so every
-				// stream started is still in the heap.
+				// Finished streams are kept for reconnects, so the heap holds
+				// every stream.
 				b.ReportMetric(float64(peak-heap0)/float64(streams*b.N)/1024, "heap-KiB/stream")
 			}
 		})
--- a/entry/call.go
+++ b/entry/call.go
@@ -16,27 +16,28 @@
 	"github.com/ragworthitch/ragworthitch/settings"
 )
 
-// Claim states of a call that may not repeat.
+// Claims of non-repeatable calls: the prefix of their rows and their states.
 const (
-	onceTable     = "once/"
+	claimTable    = "once/"
 	stateClaimed  = "claimed"
 	stateDone     = "done"
 	stateReleased = "released"
 	stateUnknown  = "unknown"
 )
 
-// headerIdempotencyKey carries a call's idempotency key to the sender.
+// headerIdempotencyKey passes a call's idempotency key through package ingress
+// to the sender.
 const headerIdempotencyKey = "Idempotency-Key"
 
 type (
 	// Answer is the result of a plain service call.
 	Answer struct {
 		Text     string
-		Replayed bool // a repeat of a call that already ran: its recorded answer
+		Replayed bool // Text was recorded when the call first ran
 	}
 
-	// onceRow is the value of a claim row.
-	onceRow struct {
+	// claimRow is the value of a claim row.
+	claimRow struct {
 		State     string `json:"state"`
 		Claim     string `json:"claim"`
 		RequestID string `json:"requestId"`
@@ -44,12 +45,12 @@
 	}
 )
 
-// Call runs a plain service call. A repeatable call is tried on another
-// service when one fails. A call that may not repeat is claimed in the table
-// first: it runs only if the claim is this call's, a repeat gets the
-// recorded answer, and when the claim cannot be made the error wraps
-// ErrNotRun and the call truly did not run. ErrUnknownOutcome means it may
-// have run; it will not be run again under that key.
+// Call runs a plain service call. A repeatable call that fails is retried at
+// another target. A non-repeatable call is claimed in the store first and runs
+// only if the claim is its own; a later call with the same key gets the
+// recorded answer. The error wraps ErrNotRun if the call certainly did not run.
+// It wraps ErrUnknownOutcome if the call may have run; no call runs again under
+// that key.
 func (e *Entry) Call(ctx context.Context, req ragworthitch.Request) (Answer, error) {
 	if err := req.Validate(func(o string) bool { return e.cfg.OrgAllows(o, "") }, e.cfg.HasModel); err != nil {
 		return Answer{}, err
@@ -59,7 +60,7 @@
 	if req.Kind().Repeatable() {
 		return e.callRepeatable(ctx, req)
 	}
-	return e.callOnce(ctx, req)
+	return e.callNonRepeatable(ctx, req)
 }
 
 func (e *Entry) callRepeatable(ctx context.Context, req ragworthitch.Request) (Answer, error) {
@@ -73,13 +74,13 @@
 	return Answer{Text: text}, nil
 }
 
-// send lets a call run at a target. Errors: ErrNotRun if it certainly did
-// not run, else ErrUnknownOutcome.
+// send runs a call at a target. The error wraps ErrNotRun if the call certainly
+// did not run, else ErrUnknownOutcome.
 func (e *Entry) send(ctx context.Context, req ragworthitch.Request, path string) (string, error) {
-	var r result
+	var r callResponse
 	c := &ingress.Call{ID: req.ID(), Method: http.MethodPost, Path: path + req.Op(), Key: req.Org(),
 		Header: http.Header{headerIdempotencyKey: {req.IdempotencyKey()}}, Received: clock.Now()}
-	switch whole := e.life.ServeWhole(ctx, &r, c); {
+	switch whole := e.calls.ServeWhole(ctx, &r, c); {
 	case !whole:
 		return "", fmt.Errorf("%w: the caller left", ErrUnknownOutcome)
 	case r.status == http.StatusOK:
@@ -91,14 +92,14 @@
 	}
 }
 
-func (e *Entry) callOnce(ctx context.Context, req ragworthitch.Request) (Answer, error) {
-	key := onceTable + req.IdempotencyKey()
+func (e *Entry) callNonRepeatable(ctx context.Context, req ragworthitch.Request) (Answer, error) {
+	key := claimTable + req.IdempotencyKey()
 	claim := e.self.Name + "/" + req.ID() + "/" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	row, err := e.claim(ctx, key, claim, req.ID())
 	if err != nil {
 		return Answer{}, err
 	}
-	cur, err := decodeOnce(row)
+	cur, err := decodeClaim(row)
 	switch {
 	case err != nil:
 		return Answer{}, err
@@ -107,37 +108,37 @@
 	case cur.Claim != claim:
 		return Answer{}, fmt.Errorf("%w: key %s is claimed by another call that has not finished", ErrUnknownOutcome, req.IdempotencyKey())
 	}
-	text, err := e.send(ctx, req, oncePath)
+	text, err := e.send(ctx, req, unsafePath)
 	if err != nil {
 		state := stateUnknown
 		if errors.Is(err, ErrNotRun) {
 			state = stateReleased
 			e.stats.CallsNotRun.Add(1)
 		}
-		e.settle(key, row.Version, onceRow{State: state, Claim: claim, RequestID: req.ID()})
+		e.recordOutcome(key, row.Version, claimRow{State: state, Claim: claim, RequestID: req.ID()})
 		return Answer{}, err
 	}
-	e.settle(key, row.Version, onceRow{State: stateDone, Claim: claim, RequestID: req.ID(), Answer: text})
+	e.recordOutcome(key, row.Version, claimRow{State: stateDone, Claim: claim, RequestID: req.ID(), Answer: text})
 	return Answer{Text: text}, nil
 }
 
-// claim makes or reads the claim row. A write whose answer was lost is read
-// back, never retried blind. It returns ErrNotRun when the claim's fate
-// cannot be known.
+// claim writes a call's claim row, or returns the row of an earlier claim. After
+// a write without an answer, claim reads the row back instead of writing again.
+// It returns ErrNotRun if it cannot tell whether the claim was written.
 func (e *Entry) claim(ctx context.Context, key, claim, id string) (platform.Row, error) {
-	want := onceRow{State: stateClaimed, Claim: claim, RequestID: id}
+	want := claimRow{State: stateClaimed, Claim: claim, RequestID: id}
 	var ifVersion int64
 	for range 3 {
 		e.stats.TableWrites.Add(1)
-		row, err := e.pf.Put(ctx, key, ifVersion, want, 0)
+		row, err := e.store.Put(ctx, key, ifVersion, want, 0)
 		if err == nil {
 			return row, nil
 		}
 		if errors.Is(err, platform.ErrUnavailable) {
-			got, gerr := e.pf.Get(ctx, key)
+			got, gerr := e.store.Get(ctx, key)
 			switch {
 			case gerr == nil:
-				return got, nil // ours if it carries our claim; the caller checks
+				return got, nil // callNonRepeatable checks whose claim it is
 			case errors.Is(gerr, platform.ErrNotFound):
 				e.stats.CallsNotRun.Add(1)
 				return platform.Row{}, fmt.Errorf("%w: the table did not take the claim", ErrNotRun)
@@ -149,38 +150,38 @@
 		if !errors.Is(err, platform.ErrConflict) {
 			return platform.Row{}, fmt.Errorf("%w: %v", ErrNotRun, err)
 		}
-		cur, err := decodeOnce(row)
+		cur, err := decodeClaim(row)
 		if err != nil {
 			return platform.Row{}, err
 		}
 		if cur.State != stateReleased {
 			return row, nil
 		}
-		ifVersion = row.Version // a released claim may be taken again
+		ifVersion = row.Version // a released claim may be claimed again
 	}
 	return platform.Row{}, fmt.Errorf("%w: claim raced too often", ErrNotRun)
 }
 
-// decodeOnce reads a claim row. One that cannot be read may be anybody's: the
-// call is not run under its key.
-func decodeOnce(row platform.Row) (v onceRow, err error) {
+// decodeClaim decodes a claim row. An invalid row may belong to any call, so the
+// error wraps ErrUnknownOutcome and no call runs under its key.
+func decodeClaim(row platform.Row) (v claimRow, err error) {
 	if err := json.Unmarshal(row.Value, &v); err != nil {
 		return v, fmt.Errorf("%w: claim row %s not understood: %v", ErrUnknownOutcome, row.Key, err)
 	}
 	return v, nil
 }
 
-// settle records a call's outcome on its claim; it keeps trying in the
-// background while the table is down, since a repeat must find it.
-func (e *Entry) settle(key string, version int64, v onceRow) {
+// recordOutcome writes a call's outcome to its claim row, for later calls with
+// the same key. It retries in the background while the store is unavailable.
+func (e *Entry) recordOutcome(key string, version int64, v claimRow) {
 	go func() {
 		for i := range 50 {
-			ctx, cancel := context.WithTimeout(e.base(), time.Second)
+			ctx, cancel := context.WithTimeout(e.streamContext(), time.Second)
 			e.stats.TableWrites.Add(1)
-			_, err := e.pf.Put(ctx, key, version, v, 0)
+			_, err := e.store.Put(ctx, key, version, v, 0)
 			cancel()
-			// A write whose answer was lost ends the loop at the next try:
-			// it meets the version it wrote itself.
+			// After a write without an answer, the next write conflicts with
+			// the version that the first one left.
 			if err == nil || errors.Is(err, platform.ErrConflict) {
 				if i > 0 {
 					e.stats.CallsRecovered.Add(1)
@@ -189,6 +190,6 @@
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		e.log.Error().Str("key", key).Msg("entry: outcome of a call could not be recorded")
+		e.log.Error().Str("key", key).Msg("entry: cannot record the outcome of a call")
 	}()
 }
--- a/entry/call_test.go
+++ b/entry/call_test.go
@@ -21,8 +21,8 @@
 		Op: "quote", IdempotencyKey: key})
 }
 
-// startDesk runs an entry with one fake plain service.
-func startDesk(t *testing.T) (*rwtest.Platform, *rwtest.FakeAgent, *entry.Entry) {
+// startEntryWithService starts an entry instance with one fake plain service.
+func startEntryWithService(t *testing.T) (*rwtest.Platform, *rwtest.FakeAgent, *entry.Entry) {
 	t.Helper()
 	p := rwtest.StartPlatform(t)
 	svc := &rwtest.FakeAgent{Name: "desk"}
@@ -30,11 +30,10 @@
 	return p, svc, startEntry(t, p)
 }
 
-// The claim is written but its answer is lost: the entry reads it back,
-// finds its own claim, and runs the call once. A repeat gets the recorded
-// answer and does not run.
+// A claim whose write got no answer must be found and its call run once; a
+// second call with the key gets the recorded answer.
 func TestLostAckOnClaimRunsOnce(t *testing.T) {
-	p, svc, e := startDesk(t)
+	p, svc, e := startEntryWithService(t)
 	p.StandIn.SetFault(platform.Fault{LostAcks: 1})
 
 	a, err := e.Call(context.Background(), quote("q1", "k1"))
@@ -53,10 +52,9 @@
 	assert.Equal(t, 1, svc.Runs("k1"))
 }
 
-// With the table down the claim cannot be made: the caller is told the call
-// was not run, and it truly was not.
+// A call that cannot be claimed because the store is unavailable must not run.
 func TestStoreDownCallNotRun(t *testing.T) {
-	p, svc, e := startDesk(t)
+	p, svc, e := startEntryWithService(t)
 	p.StandIn.SetFault(platform.Fault{DownMs: 2000})
 
 	_, err := e.Call(context.Background(), quote("q1", "k2"))
@@ -65,26 +63,27 @@
 	assert.Equal(t, 0, svc.Runs("k2"))
 }
 
-// A target that drains refuses a call without running it: the caller is told
-// so, and the same key runs later, once.
+// A call that a draining target rejects is reported as not run, and its key can
+// run later.
 func TestRefusedCallRunsLater(t *testing.T) {
-	p, svc, e := startDesk(t)
+	p, svc, e := startEntryWithService(t)
 	svc.Busy.Store(true)
 	_, err := e.Call(context.Background(), quote("q1", "k3"))
 	assert.ErrorIs(t, err, entry.ErrNotRun)
 	require.Eventually(t, func() bool {
 		r, ok := p.StandIn.Get("once/k3")
 		return ok && strings.Contains(string(r.Value), `"state":"released"`)
-	}, time.Second, 10*time.Millisecond, "the claim was not given back")
+	}, time.Second, 10*time.Millisecond, "the claim was not released")
 	svc.Busy.Store(false)
 	_, err = e.Call(context.Background(), quote("q2", "k3"))
 	require.NoError(t, err)
 	assert.Equal(t, 1, svc.Runs("k3"))
 }
 
-// A repeatable call whose target fails is no conflict: its caller may ask again.
+// A repeatable call that fails must not be reported as a conflict, because the
+// caller may retry.
 func TestRepeatableCallFailed(t *testing.T) {
-	_, svc, e := startDesk(t)
+	_, svc, e := startEntryWithService(t)
 	svc.Broken.Store(true)
 	_, err := e.Call(context.Background(), ragworthitch.NewRequest(ragworthitch.RequestParams{ID: "s1", Org: "o", Kind: ragworthitch.KindShort, Op: "status"}))
 	assert.ErrorIs(t, err, entry.ErrFailed)
--- a/entry/checkpoint.go
+++ b/entry/checkpoint.go
@@ -12,19 +12,21 @@
 	"github.com/ragworthitch/ragworthitch/settings"
 )
 
-// Checkpoints of a stream: the request once, its tokens in batches, so that
-// any entry can continue a stream whose entry died.
+// A stream's request is stored once and its tokens in batches, so that any entry
+// instance can continue the stream after a crash of its own.
 const (
-	promptObject     = "prompt/"
-	tokensObject     = "tokens/"
-	entryLeases      = "entry/"
-	checkpointTokens = 32                     // tokens between checkpoints
-	checkpointEvery  = 250 * time.Millisecond // or this long
+	promptObject    = "prompt/"
+	tokensObject    = "tokens/"
+	entryLeaseTable = "entry/"
+	// A checkpoint is due after checkpointTokens or checkpointInterval,
+	// whichever comes first.
+	checkpointTokens   = 32
+	checkpointInterval = 250 * time.Millisecond
 )
 
 type (
-	// promptValue is the object that lets another entry restart a stream.
-	promptValue struct {
+	// promptCheckpoint is a stream's request, as stored.
+	promptCheckpoint struct {
 		Org       string `json:"org"`
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
@@ -33,26 +35,26 @@
 		Priority  int    `json:"priority"`
 	}
 
-	// tokensValue is a checkpoint of the tokens delivered.
-	tokensValue struct {
+	// tokensCheckpoint holds the tokens delivered and the attempt of each.
+	tokensCheckpoint struct {
 		Tokens   []string `json:"tokens"`
 		Attempts []int    `json:"attempts"`
 	}
 )
 
-// heartbeat keeps this entry's lease row, which tells other entries that
-// its streams are still driven.
-func (e *Entry) heartbeat(ctx context.Context) error {
-	key := entryLeases + e.self.Name
+// renewLease renews this entry instance's lease row until ctx ends. Peers take
+// over streams of an instance whose lease has expired.
+func (e *Entry) renewLease(ctx context.Context) error {
+	key := entryLeaseTable + e.self.Name
 	ttl := settings.Ms(e.cfg.Timeouts.LeaseMs)
 	var version int64
-	held := true // assumed, so that the first failure is logged
+	held := true // so that a failure of the first renewal is logged
 	t := time.NewTicker(settings.Ms(e.cfg.Timeouts.HeartbeatMs))
 	defer t.Stop()
 	for {
-		r, err := e.pf.Put(ctx, key, version, map[string]string{"entry": e.self.Name}, ttl)
+		r, err := e.store.Put(ctx, key, version, map[string]string{"entry": e.self.Name}, ttl)
 		if err == nil || errors.Is(err, platform.ErrConflict) {
-			version = r.Version // after a conflict: a restart of this entry, the row is taken over
+			version = r.Version // after a conflict, the version that an earlier process wrote
 		}
 		if ok := err == nil; ok != held && ctx.Err() == nil {
 			held = ok
@@ -66,134 +68,133 @@
 	}
 }
 
-// savePrompt writes what another entry needs to restart the stream.
+// savePrompt stores the stream's request.
 func (s *Stream) savePrompt(ctx context.Context) {
-	v := promptValue{Org: s.req.Org(), Model: s.req.Model(), Prompt: s.prompt, MaxTokens: s.req.MaxTokens(),
+	v := promptCheckpoint{Org: s.req.Org(), Model: s.req.Model(), Prompt: s.prompt, MaxTokens: s.req.MaxTokens(),
 		Seed: s.req.Seed(), Priority: s.req.Priority()}
 	if err := s.putObject(ctx, promptObject, v); err != nil {
 		return
 	}
 	s.mu.Lock()
-	s.promptSaved = true
+	s.isPromptSaved = true
 	s.mu.Unlock()
 }
 
-// maybeCheckpoint starts a checkpoint write when enough has arrived since
-// the last one; s.mu is held. One write is in flight at a time; a stream
-// goes on while the store is down and checkpoints when it returns.
+// maybeCheckpoint starts writing a checkpoint of the tokens if one is due and
+// no write is in progress. The stream doesn't wait for the write. The caller
+// holds s.mu.
 func (s *Stream) maybeCheckpoint(final bool) {
 	n := len(s.tokens)
-	if s.saving || n == s.saved || (!final && n-s.saved < checkpointTokens && time.Since(s.savedAt) < checkpointEvery) {
+	if s.isSaving || n == s.savedTokens || (!final && n-s.savedTokens < checkpointTokens && time.Since(s.savedAt) < checkpointInterval) {
 		return
 	}
-	v := tokensValue{Tokens: make([]string, n), Attempts: make([]int, n)}
+	v := tokensCheckpoint{Tokens: make([]string, n), Attempts: make([]int, n)}
 	for i, t := range s.tokens {
 		v.Tokens[i], v.Attempts[i] = t.Text(), t.Attempt()
 	}
-	s.saving = true
+	s.isSaving = true
 	go func() {
-		ctx, cancel := context.WithTimeout(s.e.base(), storeTime)
+		ctx, cancel := context.WithTimeout(s.e.streamContext(), storeTimeout)
 		err := s.putObject(ctx, tokensObject, v)
 		cancel()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.saving = false
+		s.isSaving = false
 		if err != nil {
 			return
 		}
-		s.saved, s.savedAt = n, time.Now()
-		if s.done {
+		s.savedTokens, s.savedAt = n, time.Now()
+		if s.isDone {
 			s.maybeCheckpoint(true)
 		}
 	}()
 }
 
-// putObject writes one of the stream's checkpoints.
+// putObject writes a checkpoint of the stream under a prefix.
 func (s *Stream) putObject(ctx context.Context, prefix string, v any) error {
 	b, err := json.Marshal(v)
 	if err == nil {
-		err = s.e.pf.PutObject(ctx, prefix+s.req.ID(), b)
+		err = s.e.store.PutObject(ctx, prefix+s.req.ID(), b)
 	}
 	if err != nil {
 		s.e.stats.TableErrors.Add(1)
-		s.log.Debug().Err(err).Str("object", prefix).Msg("resume: checkpoint not written; written with the next one")
+		s.log.Debug().Err(err).Str("object", prefix).Msg("resume: cannot write checkpoint; retrying with the next one")
 	}
 	return err
 }
 
-// tokensOf reads a stream's checkpointed tokens; without them the answer is
-// generated again from its start.
-func (e *Entry) tokensOf(ctx context.Context, id string) (v tokensValue) {
-	b, err := e.pf.GetObject(ctx, tokensObject+id)
+// loadTokens reads the tokens of a stream's checkpoint. It returns none if there
+// is no valid checkpoint.
+func (e *Entry) loadTokens(ctx context.Context, id string) (v tokensCheckpoint) {
+	b, err := e.store.GetObject(ctx, tokensObject+id)
 	if err == nil {
 		err = json.Unmarshal(b, &v)
 	}
 	if err != nil {
-		e.log.Info().Str("request", id).Err(err).Msg("resume: no checkpoint of tokens; the answer is generated again")
-		return tokensValue{}
+		e.log.Info().Str("request", id).Err(err).Msg("resume: no token checkpoint; generating the answer from the start")
+		return tokensCheckpoint{}
 	}
 	return v
 }
 
-// adopt continues a stream whose entry is gone: it takes the request row
-// over with a conditional write, reads the checkpoints, and drives the
-// stream from the checkpointed prefix with the next attempt number. A
-// stream whose entry is alive is not taken.
-func (e *Entry) adopt(ctx context.Context, id string) (*Stream, error) {
-	row, err := e.pf.Get(ctx, requestTable+id)
+// takeOver continues a stream of another entry instance from its checkpoints,
+// with the next attempt number. It fails if the lease of that instance is valid.
+// The first attempt claims the request row with a conditional write.
+func (e *Entry) takeOver(ctx context.Context, id string) (*Stream, error) {
+	row, err := e.store.Get(ctx, requestTable+id)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %v", ErrUnknownStream, id, err)
 	}
-	var rr requestRow
-	if err := json.Unmarshal(row.Value, &rr); err != nil {
+	var request requestRow
+	if err := json.Unmarshal(row.Value, &request); err != nil {
 		return nil, fmt.Errorf("%w: %s: bad row", ErrUnknownStream, id)
 	}
-	if rr.State == "running" {
-		lease, err := e.pf.Get(ctx, entryLeases+rr.Entry)
-		if err == nil && !lease.Expired && rr.Entry != e.self.Name {
-			return nil, fmt.Errorf("%w: %s is driven by %s", ErrOwnedElsewhere, id, rr.Entry)
+	if request.State == "running" {
+		lease, err := e.store.Get(ctx, entryLeaseTable+request.Entry)
+		if err == nil && !lease.Expired && request.Entry != e.self.Name {
+			return nil, fmt.Errorf("%w: %s is driven by %s", ErrOwnedElsewhere, id, request.Entry)
 		}
 	}
-	pb, err := e.pf.GetObject(ctx, promptObject+id)
+	promptBytes, err := e.store.GetObject(ctx, promptObject+id)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: no prompt checkpoint: %v", ErrUnknownStream, id, err)
 	}
-	var pv promptValue
-	if err := json.Unmarshal(pb, &pv); err != nil {
+	var prompt promptCheckpoint
+	if err := json.Unmarshal(promptBytes, &prompt); err != nil {
 		return nil, fmt.Errorf("%w: %s: bad prompt checkpoint", ErrUnknownStream, id)
 	}
-	tv := e.tokensOf(ctx, id)
-	req := ragworthitch.NewRequest(ragworthitch.RequestParams{ID: id, Org: pv.Org, Model: pv.Model,
-		Kind: ragworthitch.KindLong, MaxTokens: pv.MaxTokens, Seed: pv.Seed, Priority: pv.Priority})
-	s := newStream(e, req, pv.Prompt)
-	for i, t := range tv.Tokens {
+	checkpoint := e.loadTokens(ctx, id)
+	req := ragworthitch.NewRequest(ragworthitch.RequestParams{ID: id, Org: prompt.Org, Model: prompt.Model,
+		Kind: ragworthitch.KindLong, MaxTokens: prompt.MaxTokens, Seed: prompt.Seed, Priority: prompt.Priority})
+	s := newStream(e, req, prompt.Prompt)
+	for i, t := range checkpoint.Tokens {
 		a := 1
-		if i < len(tv.Attempts) {
-			a = tv.Attempts[i]
+		if i < len(checkpoint.Attempts) {
+			a = checkpoint.Attempts[i]
 		}
 		s.tokens = append(s.tokens, ragworthitch.NewToken(i, a, t))
 	}
-	s.saved = len(s.tokens)
-	s.promptSaved = true
-	s.version, s.attempt = row.Version, rr.Attempt
-	s.done = len(s.tokens) >= pv.MaxTokens
+	s.savedTokens = len(s.tokens)
+	s.isPromptSaved = true
+	s.version, s.attempt = row.Version, request.Attempt
+	s.isDone = len(s.tokens) >= prompt.MaxTokens
 	if !e.register(s) {
-		// Another reconnect got here first.
+		// A concurrent reconnect has taken the stream over.
 		if got := e.stream(id); got != nil {
 			return got, nil
 		}
 		return nil, fmt.Errorf("%w: %s", ErrUnknownStream, id)
 	}
-	if s.done {
+	if s.isDone {
 		s.finish(nil)
 		return s, nil
 	}
 	e.stats.Streams.Add(1)
 	e.stats.Adopted.Add(1)
-	e.log.Info().Str("request", id).Str("from", rr.Entry).Int("offset", len(s.tokens)).
-		Msgf("resume: stream %s taken over from %s at offset %d", id, rr.Entry, len(s.tokens))
-	s.resumeAt = time.Now()
-	go s.keepDurable(e.base())
-	s.start(rr.Attempt + 1)
+	e.log.Info().Str("request", id).Str("from", request.Entry).Int("offset", len(s.tokens)).
+		Msgf("resume: stream %s taken over from %s at offset %d", id, request.Entry, len(s.tokens))
+	s.interruptedAt = time.Now()
+	go s.retryStoreWrites(e.streamContext())
+	s.run(request.Attempt + 1)
 	return s, nil
 }
--- a/entry/result.go
+++ b/entry/result.go
@@ -5,23 +5,24 @@
 	"net/http"
 )
 
-// result takes the answer to a short call. The zero value is ready to use.
-type result struct {
+// callResponse is an http.ResponseWriter that records the response to a plain
+// call. The zero value is ready to use.
+type callResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header is the answer's header.
-func (r *result) Header() http.Header {
+// Header returns the header of the response.
+func (r *callResponse) Header() http.Header {
 	if r.header == nil {
 		r.header = http.Header{}
 	}
 	return r.header
 }
 
-// WriteHeader takes the answer's status.
-func (r *result) WriteHeader(status int) { r.status = status }
+// WriteHeader records the status of the response.
+func (r *callResponse) WriteHeader(status int) { r.status = status }
 
-// Write takes a part of the answer's body.
-func (r *result) Write(b []byte) (int, error) { return r.body.Write(b) }
+// Write appends to the body of the response.
+func (r *callResponse) Write(b []byte) (int, error) { return r.body.Write(b) }
--- a/entry/sender.go
+++ b/entry/sender.go
@@ -18,40 +18,40 @@
 )
 
 var (
-	errTakenOver = errors.New("entry: request row taken by another entry")
-	errShort     = errors.New("entry: the target ended the answer early")
-	errGap       = errors.New("entry: tokens missing")
+	errRowTaken      = errors.New("entry: request row taken over by another entry instance")
+	errTruncated     = errors.New("entry: the target ended the answer early")
+	errMissingTokens = errors.New("entry: missing tokens")
 )
 
-// sender puts orders on the wire to the agents beside the targets.
+// sender sends the attempts of package ingress to the agents of the targets.
 type sender struct{ e *Entry }
 
-// Send sends an order to its target's agent.
+// Send sends an attempt to the agent of its target.
 func (s sender) Send(ctx context.Context, o *ingress.Order) (*ingress.Reply, error) {
-	l, epoch, err := s.e.linkTo(o.Target.ID())
+	ac, epoch, err := s.e.agentConnOf(o.Target.ID())
 	if err != nil {
 		return nil, err
 	}
 	if strings.HasPrefix(o.Call.Path, generatePath) {
-		return s.start(ctx, o, l, epoch)
+		return s.sendAttempt(ctx, o, ac, epoch)
 	}
-	return s.call(ctx, o, l, epoch)
+	return s.sendCall(ctx, o, ac, epoch)
 }
 
 // Probe reports whether a target's agent is connected.
 func (s sender) Probe(_ context.Context, m *registry.Member) error {
-	_, _, err := s.e.linkTo(m.Target().ID())
+	_, _, err := s.e.agentConnOf(m.Target().ID())
 	return err
 }
 
-// call sends a short call and waits for its result.
-func (s sender) call(ctx context.Context, o *ingress.Order, l *link, epoch uint64) (*ingress.Reply, error) {
-	k := orderKey{o.Call.ID, int(s.e.callSeq.Add(1))}
-	q := l.open(k)
-	defer l.close(k)
+// sendCall sends a plain call and waits for its result.
+func (s sender) sendCall(ctx context.Context, o *ingress.Order, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
+	k := attemptKey{o.Call.ID, int(s.e.callSeq.Add(1))}
+	q := ac.open(k)
+	defer ac.close(k)
 	m := wire.Message{Type: wire.TypeCall, RequestID: k.id, Attempt: k.attempt, Fencing: epoch,
 		Op: path.Base(o.Call.Path), Org: o.Org, IdempotencyKey: o.Call.Header.Get(headerIdempotencyKey)}
-	if err := l.conn.Send(ctx, m); err != nil {
+	if err := ac.conn.Send(ctx, m); err != nil {
 		return nil, fmt.Errorf("%w: %v", upstream.ErrSent, err)
 	}
 	select {
@@ -69,56 +69,56 @@
 	return nil, fmt.Errorf("%w: %s", upstream.ErrSent, r.Reason)
 }
 
-// start sends one attempt of a stream. The attempt is on the request's row
-// before any engine hears of it, so that an entry that has lost the stream
-// to another one starts nothing more.
-func (s sender) start(ctx context.Context, o *ingress.Order, l *link, epoch uint64) (*ingress.Reply, error) {
+// sendAttempt sends one attempt of a stream. It writes the request row first, so
+// that an entry instance starts no attempt of a stream that a peer has taken
+// over.
+func (s sender) sendAttempt(ctx context.Context, o *ingress.Order, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
 	st := s.e.stream(o.Call.ID)
 	if st == nil {
 		return nil, fmt.Errorf("%w: stream %s has ended", upstream.ErrNotSent, o.Call.ID)
 	}
-	attempt, prefix := st.begin(o.Target.ID())
-	if err := st.record(ctx, stateRunning); errors.Is(err, platform.ErrConflict) {
+	attempt, prefix := st.beginAttempt(o.Target.ID())
+	if err := st.writeRow(ctx, stateRunning); errors.Is(err, platform.ErrConflict) {
 		st.stop()
-		return nil, fmt.Errorf("%w: %w", upstream.ErrNotSent, errTakenOver)
+		return nil, fmt.Errorf("%w: %w", upstream.ErrNotSent, errRowTaken)
 	}
-	k := orderKey{o.Call.ID, attempt}
-	q := l.open(k)
+	k := attemptKey{o.Call.ID, attempt}
+	q := ac.open(k)
 	m := wire.Message{Type: wire.TypeStart, RequestID: k.id, Attempt: attempt, Fencing: epoch,
 		Model: st.req.Model(), Prompt: st.prompt, MaxTokens: st.req.MaxTokens(), Priority: st.req.Priority(),
 		Seed: st.req.Seed(), Prefix: prefix}
-	if err := l.conn.Send(ctx, m); err != nil {
-		l.close(k)
+	if err := ac.conn.Send(ctx, m); err != nil {
+		ac.close(k)
 		return nil, fmt.Errorf("%w: %v", upstream.ErrSent, err)
 	}
-	ended := false // by its target
+	ended := false // the target has sent the whole answer
 	events := func(emit func(ingress.Event) bool) error {
-		err := s.follow(ctx, st, q, len(prefix), emit)
+		err := s.forwardTokens(ctx, st, q, len(prefix), emit)
 		ended = err == nil
 		return err
 	}
 	body := ingress.EmptyBody(func() {
-		l.close(k)
+		ac.close(k)
 		if !ended {
-			st.interrupted()
-			s.cancel(st, l, k)
+			st.markInterrupted()
+			s.cancel(st, ac, k)
 		}
 	})
 	return &ingress.Reply{Status: http.StatusOK, Body: body, Sized: true, Events: events}, nil
 }
 
-// cancel tells an agent that an attempt is given up.
-func (s sender) cancel(st *Stream, l *link, k orderKey) {
-	err := l.conn.Send(s.e.base(), wire.Message{Type: wire.TypeCancel, RequestID: k.id, Attempt: k.attempt})
+// cancel tells an agent to cancel an attempt.
+func (s sender) cancel(st *Stream, ac *agentConn, k attemptKey) {
+	err := ac.conn.Send(s.e.streamContext(), wire.Message{Type: wire.TypeCancel, RequestID: k.id, Attempt: k.attempt})
 	if err != nil {
-		st.log.Debug().Err(err).Int("attempt", k.attempt).Msg("resume: attempt not cancelled, its agent is gone")
+		st.log.Debug().Err(err).Int("attempt", k.attempt).Msg("resume: cannot cancel attempt; the connection to its agent is lost")
 	}
 }
 
-// follow hands the tokens of one attempt to emit until it ends; next is the
-// offset of the first one. An event's number is the count of tokens up to
-// it.
-func (s sender) follow(ctx context.Context, st *Stream, q *queue.Queue[wire.Message], next int, emit func(ingress.Event) bool) error {
+// forwardTokens passes the tokens of one attempt to emit until the attempt ends;
+// next is the offset of the first token. The id of an event is the number of
+// tokens up to it.
+func (s sender) forwardTokens(ctx context.Context, st *Stream, q *queue.Queue[wire.Message], next int, emit func(ingress.Event) bool) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -130,14 +130,14 @@
 			case m.Type == wire.TypeFail:
 				return errors.New(m.Reason)
 			case m.Type == wire.TypeDone && next < st.req.MaxTokens():
-				return fmt.Errorf("%w: %d of %d tokens", errShort, next, st.req.MaxTokens())
+				return fmt.Errorf("%w: %d of %d tokens", errTruncated, next, st.req.MaxTokens())
 			case m.Type == wire.TypeDone:
 				return nil
 			case m.Offset < next:
 				s.e.stats.Discarded.Add(1)
 				continue
 			case m.Offset > next:
-				return fmt.Errorf("%w: offset %d after %d", errGap, m.Offset, next)
+				return fmt.Errorf("%w: offset %d after %d", errMissingTokens, m.Offset, next)
 			}
 			next++
 			if !emit(ingress.Event{Raw: []byte(m.Text), ID: int64(next)}) {
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -18,51 +18,50 @@
 )
 
 const (
-	linger       = time.Minute // a finished stream is kept this long for reconnects
-	requestTable = "req/"
-	prefixWords  = 64 // of a prompt, that its organisation's others share
+	finishedStreamTTL = time.Minute // for reconnects
+	requestTable      = "req/"
+	sharedPrefixWords = 64 // leading words of a prompt that identify its cached prefix
 
-	// States of a request's row.
+	// States of a request row, besides stateDone.
 	stateRunning = "running"
 	stateFailed  = "failed"
 )
 
 type (
-	// Stream is one generation as the entry drives it: the tokens delivered
-	// so far, in order, each from the attempt current when it arrived. The
-	// life of a call (package ingress) writes its answer to it, as to any
-	// http.ResponseWriter; callers read it with Next and may come and go.
+	// Stream is one generation and the tokens delivered so far. Package
+	// ingress writes the answer to it as to an http.ResponseWriter, over all
+	// attempts. Callers read the tokens with Next and may reconnect.
 	Stream struct {
-		e      *Entry
-		req    ragworthitch.Request
-		prompt string
-		log    zerolog.Logger
-		stop   context.CancelFunc // ends its run
-		begun  chan struct{}      // closed when a target was chosen, or none was found
-		once   sync.Once          // closes begun
+		e         *Entry
+		req       ragworthitch.Request
+		prompt    string
+		log       zerolog.Logger
+		stop      context.CancelFunc // cancels the generation
+		started   chan struct{}      // closed when the first attempt starts, or when there is no target
+		startOnce sync.Once          // closes started
 
-		mu       sync.Mutex
-		header   http.Header
-		status   int
-		tokens   []ragworthitch.Token
-		first    int // number of the first attempt here
-		attempt  int
-		err      error
-		done     bool
-		changed  chan struct{}
-		version  int64
-		resumeAt time.Time // when the attempt before ended; zero while one runs
-		saving   bool
-		saved    int
-		savedAt  time.Time
+		mu            sync.Mutex
+		header        http.Header
+		status        int
+		tokens        []ragworthitch.Token
+		firstAttempt  int // number of the first attempt by this instance
+		attempt       int
+		err           error
+		isDone        bool
+		changed       chan struct{}
+		version       int64
+		interruptedAt time.Time // when the last attempt was interrupted; zero while tokens arrive
+		isSaving      bool
+		savedTokens   int
+		savedAt       time.Time
 
-		promptSaved bool   // the prompt checkpoint is in the store
-		rowDirty    bool   // the request row's last write did not land
-		rowState    string // the state that write carried
-		target      string
+		isPromptSaved bool
+		isRowPending  bool   // the last write of the request row failed
+		pendingState  string // the state in that write
+		target        string
 	}
 
-	// requestRow is the value of a request's row in the table.
+	// requestRow is the value of a request row.
 	requestRow struct {
 		Entry     string `json:"entry"`
 		Attempt   int    `json:"attempt"`
@@ -72,9 +71,9 @@
 	}
 )
 
-// Generate starts a streamed generation. The first target is picked before
-// it returns, so a refusal (ErrNoTarget, ErrDuplicate or a validation error)
-// means nothing was started.
+// Generate starts a streamed generation and returns when the first target is
+// chosen. After an error (ErrNoTarget, ErrDuplicate or a validation error)
+// nothing runs.
 func (e *Entry) Generate(ctx context.Context, req ragworthitch.Request, prompt string) (*Stream, error) {
 	if err := req.Validate(func(o string) bool { return e.cfg.OrgAllows(o, "") }, e.cfg.HasModel); err != nil {
 		return nil, err
@@ -86,34 +85,35 @@
 	if !e.register(s) {
 		return nil, fmt.Errorf("%w: %s", ErrDuplicate, req.ID())
 	}
-	s.start(1)
-	<-s.begun
+	s.run(1)
+	<-s.started
 	if s.Attempts() == 0 {
 		e.unregister(s)
 		return nil, ErrNoTarget
 	}
 	e.stats.Streams.Add(1)
 	s.savePrompt(ctx)
-	go s.keepDurable(e.base())
+	go s.retryStoreWrites(e.streamContext())
 	return s, nil
 }
 
 func newStream(e *Entry, req ragworthitch.Request, prompt string) *Stream {
 	return &Stream{e: e, req: req, prompt: prompt, log: e.log.With().Str("request", req.ID()).Logger(),
-		begun: make(chan struct{}), changed: make(chan struct{})}
+		started: make(chan struct{}), changed: make(chan struct{})}
 }
 
-// subject is what a request's prompt begins with: engines keep what
-// requests of an organisation share.
-func (s *Stream) subject() string {
+// cacheSubject returns the key by which ingress routes a request to an engine
+// that has its prefix cached: a hash of organisation, model and the first words
+// of the prompt.
+func (s *Stream) cacheSubject() string {
 	words := strings.Fields(s.prompt)
-	key := route.Key(s.req.Org(), s.req.Model(), strings.Join(words[:min(len(words), prefixWords)], " "))
+	key := route.Key(s.req.Org(), s.req.Model(), strings.Join(words[:min(len(words), sharedPrefixWords)], " "))
 	return strconv.FormatUint(key, 16)
 }
 
-// register makes s the stream of its request id; false if there is one.
+// register stores s under its request id. It returns false if the id is in use.
 func (e *Entry) register(s *Stream) bool {
-	sh := &e.streams[shardOf(s.req.ID())]
+	sh := &e.streams[shardIndex(s.req.ID())]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if sh.m == nil {
@@ -126,9 +126,9 @@
 	return true
 }
 
-// unregister forgets a stream.
+// unregister removes a stream.
 func (e *Entry) unregister(s *Stream) {
-	sh := &e.streams[shardOf(s.req.ID())]
+	sh := &e.streams[shardIndex(s.req.ID())]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if sh.m[s.req.ID()] == s {
@@ -136,30 +136,30 @@
 	}
 }
 
-// Attach returns a stream this entry is driving or has just finished, or
-// takes over one whose entry died (see adopt).
+// Attach returns the stream with a request id. If this instance doesn't have the
+// stream, Attach takes it over from an instance that has crashed.
 func (e *Entry) Attach(ctx context.Context, id string) (*Stream, error) {
 	if s := e.stream(id); s != nil {
 		return s, nil
 	}
-	return e.adopt(ctx, id)
+	return e.takeOver(ctx, id)
 }
 
-// Request is the stream's request.
+// Request returns the stream's request.
 func (s *Stream) Request() ragworthitch.Request { return s.req }
 
-// Next waits until there are tokens from offset on, or the stream ended,
-// and returns them. err is the stream's final error once done.
+// Next waits for tokens from an offset on, or for the end of the stream. done
+// reports that the stream has ended and no token follows; err is then its error.
 func (s *Stream) Next(ctx context.Context, from int) (toks []ragworthitch.Token, done bool, err error) {
 	for {
 		s.mu.Lock()
 		if from < len(s.tokens) {
 			toks = append(toks, s.tokens[from:]...)
 		}
-		done, err, ch := s.done, s.err, s.changed
+		done, err, ch := s.isDone, s.err, s.changed
 		s.mu.Unlock()
 		if len(toks) > 0 || done {
-			return toks, done && from+len(toks) >= s.delivered(), err
+			return toks, done && from+len(toks) >= s.deliveredTokens(), err
 		}
 		select {
 		case <-ctx.Done():
@@ -169,13 +169,13 @@
 	}
 }
 
-func (s *Stream) delivered() int {
+func (s *Stream) deliveredTokens() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.tokens)
 }
 
-// Attempts is the number of attempts so far.
+// Attempts returns the number of attempts so far.
 func (s *Stream) Attempts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,58 +187,59 @@
 	s.changed = make(chan struct{})
 }
 
-// start lets the stream run from the tokens it has; first is the number of
-// its next attempt.
-func (s *Stream) start(first int) {
-	ctx, cancel := context.WithCancel(s.e.base())
-	s.stop, s.first = cancel, first
+// run starts the generation, after the tokens that the stream has; first is the
+// number of its next attempt.
+func (s *Stream) run(first int) {
+	ctx, cancel := context.WithCancel(s.e.streamContext())
+	s.stop, s.firstAttempt = cancel, first
 	c := &ingress.Call{ID: s.req.ID(), Method: http.MethodPost, Path: generatePath + s.req.Model() + "/", Key: s.req.Org(), Body: []byte(s.prompt),
-		Prompt: s.req.PromptTokens(), Output: s.req.MaxTokens(), Subject: s.subject(), Received: clock.Now()}
+		Prompt: s.req.PromptTokens(), Output: s.req.MaxTokens(), Subject: s.cacheSubject(), Received: clock.Now()}
 	if n := len(s.tokens); n > 0 {
 		c.After = strconv.Itoa(n)
 	}
 	go func() {
 		defer cancel()
-		whole := s.e.life.ServeWhole(ctx, s, c)
-		s.ended(ctx, whole)
+		whole := s.e.calls.ServeWhole(ctx, s, c)
+		s.handleRunEnd(ctx, whole)
 	}()
 }
 
-// ended settles a stream whose run is over.
-func (s *Stream) ended(ctx context.Context, whole bool) {
-	defer s.once.Do(func() { close(s.begun) })
+// handleRunEnd finishes a stream after its last attempt.
+func (s *Stream) handleRunEnd(ctx context.Context, whole bool) {
+	defer s.startOnce.Do(func() { close(s.started) })
 	s.mu.Lock()
 	status := s.status
 	s.mu.Unlock()
 	switch {
 	case whole && status == http.StatusOK:
 		s.finish(nil)
-		s.record(s.e.base(), stateDone)
-	case s.e.base().Err() != nil:
+		s.writeRow(s.e.streamContext(), stateDone)
+	case s.e.streamContext().Err() != nil:
 		s.finish(ctx.Err())
 	case s.Attempts() == 0:
 		s.finish(ErrNoTarget)
 	default:
 		s.e.stats.GaveUp.Add(1)
-		s.log.Error().Int("attempts", s.Attempts()).Int("delivered", s.delivered()).Msg("resume: gave up, no attempt left")
+		s.log.Error().Int("attempts", s.Attempts()).Int("delivered", s.deliveredTokens()).Msg("resume: stream failed; no attempts left")
 		s.finish(ErrGaveUp)
 		if ctx.Err() == nil {
-			s.record(s.e.base(), stateFailed)
+			s.writeRow(s.e.streamContext(), stateFailed)
 		}
 	}
 }
 
-// begin numbers a new attempt and returns the tokens it goes on from.
-func (s *Stream) begin(target string) (attempt int, prefix []string) {
+// beginAttempt returns the number of a new attempt and the tokens that it
+// continues after.
+func (s *Stream) beginAttempt(target string) (attempt int, prefix []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.attempt = max(s.attempt+1, s.first)
+	s.attempt = max(s.attempt+1, s.firstAttempt)
 	s.target = target
 	prefix = make([]string, len(s.tokens))
 	for i, t := range s.tokens {
 		prefix[i] = t.Text()
 	}
-	s.once.Do(func() { close(s.begun) })
+	s.startOnce.Do(func() { close(s.started) })
 	if s.attempt > 1 {
 		s.e.stats.Resumes.Add(1)
 		s.e.stats.Recomputed.Add(int64(len(prefix)))
@@ -249,16 +250,16 @@
 	return s.attempt, prefix
 }
 
-// interrupted notes that an attempt ended before the answer did.
-func (s *Stream) interrupted() {
+// markInterrupted starts the measurement of the resume latency.
+func (s *Stream) markInterrupted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.resumeAt.IsZero() && !s.done {
-		s.resumeAt = time.Now()
+	if s.interruptedAt.IsZero() && !s.isDone {
+		s.interruptedAt = time.Now()
 	}
 }
 
-// Header is the header of the answer; callers of the stream get their own.
+// Header returns the header of the answer, which callers don't see.
 func (s *Stream) Header() http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -268,40 +269,40 @@
 	return s.header
 }
 
-// WriteHeader takes the status of the answer.
+// WriteHeader records the status of the answer.
 func (s *Stream) WriteHeader(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status = status
 }
 
-// Write takes the next token of the answer.
+// Write appends the next token of the answer.
 func (s *Stream) Write(token []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tokens = append(s.tokens, ragworthitch.NewToken(len(s.tokens), s.attempt, string(token)))
 	s.e.stats.Delivered.Add(1)
 	s.maybeCheckpoint(false)
-	if !s.resumeAt.IsZero() {
-		d := time.Since(s.resumeAt)
+	if !s.interruptedAt.IsZero() {
+		d := time.Since(s.interruptedAt)
 		s.e.stats.ResumeNanos.Add(int64(d))
 		s.e.stats.ResumeCount.Add(1)
 		s.e.scope.Timer("resumeLatency").Record(d)
-		s.resumeAt = time.Time{}
+		s.interruptedAt = time.Time{}
 	}
 	s.notify()
 	return len(token), nil
 }
 
-// FlushError does nothing: Next waits for every token.
+// FlushError does nothing; Write wakes up Next.
 func (s *Stream) FlushError() error { return nil }
 
 func (s *Stream) finish(err error) {
 	s.mu.Lock()
-	s.done, s.err = true, err
+	s.isDone, s.err = true, err
 	s.notify()
 	s.maybeCheckpoint(true)
 	s.mu.Unlock()
-	s.e.scope.Counter("tokensDelivered").Inc(int64(s.delivered()))
-	time.AfterFunc(linger, func() { s.e.unregister(s) })
+	s.e.scope.Counter("tokensDelivered").Inc(int64(s.deliveredTokens()))
+	time.AfterFunc(finishedStreamTTL, func() { s.e.unregister(s) })
 }
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -15,7 +15,7 @@
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
-// startEntry runs an entry against fake agents until the test ends.
+// startEntry starts an entry instance that runs until the test ends.
 func startEntry(t *testing.T, p *rwtest.Platform) *entry.Entry {
 	t.Helper()
 	e, err := entry.New(rwtest.Settings(t, p.Addr), "en1", zerolog.Nop(), nil)
@@ -27,7 +27,7 @@
 	return e
 }
 
-// collect reads a stream to its end.
+// collect returns all tokens of a stream.
 func collect(t *testing.T, s *entry.Stream) ([]ragworthitch.Token, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -47,7 +47,7 @@
 		Kind: ragworthitch.KindLong, MaxTokens: n, Seed: 9})
 }
 
-// assertChain checks that the answer is whole and from one token chain.
+// assertChain checks that the n tokens of an answer belong to one generation.
 func assertChain(t *testing.T, toks []ragworthitch.Token, n int) {
 	t.Helper()
 	require.Len(t, toks, n)
@@ -57,18 +57,16 @@
 	}
 }
 
-// A target that stalls is given up after the stall timeout; the tokens it
-// sends later under the old attempt number are dropped, even where they
-// reach the entry before the new attempt's own tokens.
+// Late tokens of a stalled attempt must not mix with those of the next attempt.
 func TestStaleAttemptIsNotMixed(t *testing.T) {
 	p := rwtest.StartPlatform(t)
 	stall := make(chan struct{})
-	slow := &rwtest.FakeAgent{Name: "a", Step: time.Millisecond, Hook: func(m wire.Message, off int) rwtest.Action {
+	stalling := &rwtest.FakeAgent{Name: "a", Step: time.Millisecond, Hook: func(m wire.Message, off int) rwtest.Action {
 		if m.Attempt == 1 && off == 20 {
-			<-stall // silent until the entry has moved on, then late
+			<-stall // until the next attempt has started
 		}
 		if m.Attempt == 1 && off >= 20 {
-			return rwtest.Action{Text: "foreign"} // another generation's tokens
+			return rwtest.Action{Text: "foreign"}
 		}
 		return rwtest.Action{}
 	}}
@@ -79,11 +77,11 @@
 		}
 		return rwtest.Action{}
 	}}
-	rwtest.StartAgent(t, p, slow, "engine", []string{"m"})
+	rwtest.StartAgent(t, p, stalling, "engine", []string{"m"})
 	e := startEntry(t, p)
 	s, err := e.Generate(context.Background(), longRequest("r1", 60), "a prompt")
 	require.NoError(t, err)
-	time.Sleep(30 * time.Millisecond) // attempt 1 starts on the only target
+	time.Sleep(30 * time.Millisecond) // attempt 1 starts at the only target
 	rwtest.StartAgent(t, p, other, "engine", []string{"m"})
 	toks, err := collect(t, s)
 	require.NoError(t, err)
@@ -92,15 +90,15 @@
 	assert.Positive(t, e.Stats().Discarded.Load(), "the late tokens of attempt 1 were not seen")
 }
 
-// When a target's stream ends early the answer resumes elsewhere from the
-// delivered prefix, and the new attempt is told that prefix.
+// A stream that ends early must continue at another target after the delivered
+// prefix.
 func TestResumeFromPrefix(t *testing.T) {
 	p := rwtest.StartPlatform(t)
-	dying := &rwtest.FakeAgent{Name: "a", Hook: func(m wire.Message, off int) rwtest.Action {
+	failing := &rwtest.FakeAgent{Name: "a", Hook: func(m wire.Message, off int) rwtest.Action {
 		return rwtest.Action{Stop: m.Attempt == 1 && off == 33}
 	}}
 	spare := &rwtest.FakeAgent{Name: "b"}
-	rwtest.StartAgent(t, p, dying, "engine", []string{"m"})
+	rwtest.StartAgent(t, p, failing, "engine", []string{"m"})
 	e := startEntry(t, p)
 	s, err := e.Generate(context.Background(), longRequest("r2", 80), "a prompt")
 	require.NoError(t, err)
