--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,9 +1,9 @@
-// Package agent is the small process beside each target (a model engine or
-// a plain service). It holds the target's lease in the platform table and
-// renews it with heartbeats; the lease epoch is the fencing number of every
-// order it passes on. It serves the wire protocol to entry instances,
-// relays generations and calls to its target, and reports the target's
-// (lagging) load.
+// Package agent implements the process that runs next to each target (a model
+// engine or a plain service). The agent holds the target's lease in the store
+// and renews it with heartbeats; the lease epoch is the fencing number of
+// attempts at the target. The agent serves the wire protocol to entry
+// instances, relays generations and calls to its target, and reports the
+// target's load.
 package agent
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
-// LeasePrefix starts the key of every agent's lease row.
+// LeasePrefix is the key prefix of lease rows.
 const LeasePrefix = "lease/"
 
 var (
@@ -33,8 +33,8 @@
 )
 
 type (
-	// LeaseValue is the value of a lease row: who holds the target and how
-	// to reach it.
+	// LeaseValue is the value of a lease row: a target and the address of the
+	// agent that holds its lease.
 	LeaseValue struct {
 		Target   string   `json:"target"`
 		Kind     string   `json:"kind"`
@@ -45,55 +45,56 @@
 		Draining bool     `json:"draining,omitempty"`
 	}
 
-	// Agent runs beside one target.
+	// Agent is the agent of one target.
 	Agent struct {
-		cfg    *settings.File
-		target settings.Target
-		log    zerolog.Logger
-		pf     *platform.Client
-		eng    *engine.Client
-		svc    *service.Client
+		cfg           *settings.File
+		target        settings.Target
+		log           zerolog.Logger
+		store         *platform.Client
+		engineClient  *engine.Client
+		serviceClient *service.Client
 
-		mu         sync.Mutex
-		epoch      uint64
-		version    int64
-		validUntil time.Time
-		activeAt   time.Time // a new holder waits out the old holder's lease
-		storeDown  bool      // the last renewal found the store unreachable
-		conns      map[*wire.Conn]struct{}
-		healthy    bool
-		draining   bool
-		relays     map[streamKey]relayRef
-		refused    int
-		faults     faults
+		mu                 sync.Mutex
+		epoch              uint64
+		version            int64
+		validUntil         time.Time
+		mayActAt           time.Time // when the lease of the previous holder has certainly expired
+		isStoreUnreachable bool
+		conns              map[*wire.Conn]struct{}
+		isTargetHealthy    bool
+		isDraining         bool
+		attempts           map[attemptKey]runningAttempt
+		rejected           int
+		faults             faults
 	}
 )
 
-// New returns the agent of the named target.
+// New returns the agent of the target with a name.
 func New(cfg *settings.File, name string, log zerolog.Logger) (*Agent, error) {
 	t, err := cfg.Target(name)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{cfg: cfg, target: t, log: log, conns: map[*wire.Conn]struct{}{}, relays: map[streamKey]relayRef{},
-		pf: platform.NewClient(cfg.Platform.Listen, time.Second)}
+	a := &Agent{cfg: cfg, target: t, log: log, conns: map[*wire.Conn]struct{}{}, attempts: map[attemptKey]runningAttempt{},
+		store: platform.NewClient(cfg.Platform.Listen, time.Second)}
 	if t.Kind == settings.KindEngine {
-		a.eng = engine.NewClient(t.Listen)
+		a.engineClient = engine.NewClient(t.Listen)
 	} else {
-		a.svc = service.NewClient(t.Listen, settings.Ms(cfg.Timeouts.ShortMs))
+		a.serviceClient = service.NewClient(t.Listen, settings.Ms(cfg.Timeouts.ShortMs))
 	}
 	return a, nil
 }
 
-// Run serves until ctx ends; its parts stop together.
+// Run serves until ctx ends, then drains the target. If a loop or the server
+// fails, Run stops the others and returns the error.
 func (a *Agent) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp", a.target.Agent)
 	if err != nil {
 		return err
 	}
 	srv := &http.Server{Handler: a.Handler()}
-	// The parts run in their own context: when ctx ends the agent drains
-	// first, then stops them together.
+	// The loops run in a context of their own, so that they continue while the
+	// agent drains.
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
 	p := pool.New().WithContext(life).WithCancelOnError()
@@ -106,8 +107,8 @@
 		}
 		return nil
 	})
-	p.Go(func(ctx context.Context) error { return a.leaseLoop(ctx) })
-	p.Go(func(ctx context.Context) error { return a.loadLoop(ctx) })
+	p.Go(func(ctx context.Context) error { return a.keepLease(ctx) })
+	p.Go(func(ctx context.Context) error { return a.reportLoad(ctx) })
 	p.Go(func(ctx context.Context) error {
 		err := srv.Serve(ln)
 		if errors.Is(err, http.ErrServerClosed) {
@@ -130,7 +131,7 @@
 	return err
 }
 
-// Handler serves the wire protocol.
+// Handler returns the handler of the wire protocol and of fault injection.
 func (a *Agent) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(wire.Path, a.serveWire)
@@ -140,27 +141,28 @@
 
 // Epoch returns the lease epoch while the agent may act on it, else 0.
 //
-// It may act while its lease is valid by its own clock, and also past that
-// while the store cannot be reached: no other holder can take the lease
-// without the store, and one that takes it when the store returns waits a
-// whole lease before acting, longer than this agent needs to see the
-// conflict at its next heartbeat and stop. A holder that was paused (and so
-// did not try to renew) gets no such grace.
+// The agent may act while its lease is valid by its own clock. It may also act
+// on an expired lease if its last renewal found the store unreachable: nobody
+// can take the lease without the store, and a new holder waits for a whole lease
+// duration before it acts, so that this agent sees the conflict at its next
+// heartbeat and stops first. A holder that was paused, and so tried no renewal,
+// may not act on an expired lease.
 func (a *Agent) Epoch() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if a.epoch == 0 || now.Before(a.activeAt) {
+	if a.epoch == 0 || now.Before(a.mayActAt) {
 		return 0
 	}
-	if now.Before(a.validUntil) || a.storeDown {
+	if now.Before(a.validUntil) || a.isStoreUnreachable {
 		return a.epoch
 	}
 	return 0
 }
 
-// loadLoop reads the target's load and sends it to every entry.
-func (a *Agent) loadLoop(ctx context.Context) error {
+// reportLoad sends the target's load to every connected entry instance at each
+// heartbeat.
+func (a *Agent) reportLoad(ctx context.Context) error {
 	t := time.NewTicker(settings.Ms(a.cfg.Timeouts.HeartbeatMs))
 	defer t.Stop()
 	for {
@@ -170,31 +172,31 @@
 		case <-t.C:
 		}
 		m := wire.Message{Type: wire.TypeLoad, Healthy: true, Fencing: a.Epoch()}
-		if a.eng != nil {
-			l, err := a.eng.Load(ctx)
+		if a.engineClient != nil {
+			l, err := a.engineClient.Load(ctx)
 			m.Running, m.Waiting, m.AtMs, m.Healthy = l.Running, l.Waiting, l.AtMs, err == nil
 		}
 		a.mu.Lock()
-		if m.Healthy != a.healthy {
+		if m.Healthy != a.isTargetHealthy {
 			a.log.Info().Bool("healthy", m.Healthy).Msg("agent: target health changed")
 		}
-		a.healthy = m.Healthy
+		a.isTargetHealthy = m.Healthy
 		a.mu.Unlock()
 		conns := a.connections()
-		if a.faults.cut() {
+		if a.faults.isPartitioned() {
 			continue
 		}
 		for _, c := range conns {
 			sctx, cancel := context.WithTimeout(ctx, time.Second)
 			if err := c.Send(sctx, m); err != nil {
-				a.log.Debug().Err(err).Msg("agent: load report not sent; its entry reads none")
+				a.log.Debug().Err(err).Msg("agent: cannot send load report")
 			}
 			cancel()
 		}
 	}
 }
 
-// connections returns the entry connections open now.
+// connections returns the open connections of entry instances.
 func (a *Agent) connections() []*wire.Conn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -205,7 +207,7 @@
 	return conns
 }
 
-type streamKey struct {
+type attemptKey struct {
 	id      string
 	attempt int
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -17,9 +17,9 @@
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
-// setup serves a platform stand-in and an engine that ignores fencing
-// numbers, and returns settings naming them.
-func setup(t *testing.T) (*settings.File, *platform.StandIn) {
+// startEngineAndStore starts a store stand-in and an engine stand-in that ignores
+// fencing numbers, and returns settings with their addresses.
+func startEngineAndStore(t *testing.T) (*settings.File, *platform.StandIn) {
 	t.Helper()
 	ps := &platform.StandIn{}
 	p := httptest.NewServer(ps.Handler())
@@ -45,8 +45,8 @@
 	return f, ps
 }
 
-// order sends one Start to an agent and returns its first answer.
-func order(t *testing.T, a *Agent, fencing uint64) wire.Message {
+// sendStart sends a Start message to an agent and returns the first reply.
+func sendStart(t *testing.T, a *Agent, fencing uint64) wire.Message {
 	t.Helper()
 	srv := httptest.NewServer(a.Handler())
 	defer srv.Close()
@@ -65,71 +65,66 @@
 	}
 }
 
-// A holder paused past its lease must not act, even for an engine that
-// ignores fencing numbers: the agent refuses the order itself. The new
-// holder, with the next epoch, is obeyed.
+// A holder that was paused until its lease expired must reject attempts itself,
+// because an engine may ignore fencing numbers.
 func TestLapsedLeaseIsFenced(t *testing.T) {
-	cfg, _ := setup(t)
+	cfg, _ := startEngineAndStore(t)
 	ctx := context.Background()
 	old, err := New(cfg, "e1", zerolog.Nop())
 	require.NoError(t, err)
-	require.NoError(t, old.heartbeat(ctx))
+	require.NoError(t, old.renewLease(ctx))
 	require.EqualValues(t, 1, old.Epoch())
-	assert.Equal(t, wire.TypeToken, order(t, old, 1).Type, "the holder is obeyed")
+	assert.Equal(t, wire.TypeToken, sendStart(t, old, 1).Type, "the holder rejects an attempt")
 
-	time.Sleep(250 * time.Millisecond) // paused: no heartbeat, the lease lapses
+	time.Sleep(250 * time.Millisecond) // without heartbeats the 200 ms lease expires
 	next, err := New(cfg, "e1", zerolog.Nop())
 	require.NoError(t, err)
-	require.NoError(t, next.heartbeat(ctx))
-	assert.Zero(t, next.Epoch(), "a new holder acts before the old lease is waited out")
+	require.NoError(t, next.renewLease(ctx))
+	assert.Zero(t, next.Epoch(), "the new holder acts before the old lease has certainly expired")
 	require.Eventually(t, func() bool {
-		next.heartbeat(ctx) // the new holder renews while it waits
+		next.renewLease(ctx)
 		return next.Epoch() == 2
 	}, time.Second, 20*time.Millisecond)
 
 	for _, f := range []uint64{1, 2} {
-		m := order(t, old, f)
+		m := sendStart(t, old, f)
 		assert.Equal(t, wire.TypeFail, m.Type, "the old holder acted on fencing number %d", f)
 		assert.True(t, m.NotRun)
 	}
-	assert.Equal(t, wire.TypeToken, order(t, next, 2).Type)
-	assert.Equal(t, wire.TypeFail, order(t, next, 1).Type, "an order with the old number is refused")
+	assert.Equal(t, wire.TypeToken, sendStart(t, next, 2).Type)
+	assert.Equal(t, wire.TypeFail, sendStart(t, next, 1).Type, "an attempt with the old fencing number is accepted")
 
-	// On waking, the old holder's renewal meets the new version and it
-	// gives the lease up rather than renewing it.
-	require.NoError(t, old.heartbeat(ctx))
+	// The next renewal of the old holder conflicts and gives the lease up.
+	require.NoError(t, old.renewLease(ctx))
 	assert.Zero(t, old.Epoch())
 	assert.EqualValues(t, 2, next.Epoch())
 }
 
-// A store outage longer than the lease does not stop a holder that tried
-// to renew: no one can take the lease without the store. Found by the demo:
-// with the store down 1.5 s every agent fenced itself and short calls
-// failed.
+// A store outage longer than the lease must not stop a holder that tried to
+// renew.
 func TestStoreOutageKeepsAuthority(t *testing.T) {
-	cfg, ps := setup(t)
+	cfg, ps := startEngineAndStore(t)
 	ctx := context.Background()
 	a, err := New(cfg, "e1", zerolog.Nop())
 	require.NoError(t, err)
-	require.NoError(t, a.heartbeat(ctx))
+	require.NoError(t, a.renewLease(ctx))
 	ps.SetFault(platform.Fault{DownMs: 1000})
-	require.Error(t, a.heartbeat(ctx))
+	require.Error(t, a.renewLease(ctx))
 	time.Sleep(250 * time.Millisecond) // past the 200 ms lease
 	assert.EqualValues(t, 1, a.Epoch())
-	assert.Equal(t, wire.TypeToken, order(t, a, 1).Type)
+	assert.Equal(t, wire.TypeToken, sendStart(t, a, 1).Type)
 }
 
-// A renewal whose answer was lost landed: the next renewal meets our own
-// epoch in the row and keeps the lease instead of giving it up.
+// A holder must keep its lease after a renewal that succeeded without an answer.
 func TestLostRenewalAckKeepsLease(t *testing.T) {
-	cfg, ps := setup(t)
+	cfg, ps := startEngineAndStore(t)
 	ctx := context.Background()
 	a, err := New(cfg, "e1", zerolog.Nop())
 	require.NoError(t, err)
-	require.NoError(t, a.heartbeat(ctx))
+	require.NoError(t, a.renewLease(ctx))
 	ps.SetFault(platform.Fault{LostAcks: 1})
-	require.Error(t, a.heartbeat(ctx))
-	require.NoError(t, a.heartbeat(ctx))
-	require.NoError(t, a.heartbeat(ctx))
+	require.Error(t, a.renewLease(ctx))
+	require.NoError(t, a.renewLease(ctx))
+	require.NoError(t, a.renewLease(ctx))
 	assert.EqualValues(t, 1, a.Epoch())
 }
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -7,87 +7,88 @@
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
-// relayRef is one order in progress, so a drain can wait for it or move it.
-type relayRef struct {
-	cancel context.CancelFunc
-	conn   *wire.Conn
-	m      wire.Message
+// runningAttempt is an attempt in progress, which a drain waits for or cancels.
+type runningAttempt struct {
+	cancel  context.CancelFunc
+	conn    *wire.Conn
+	request wire.Message
 }
 
-// track records an order in progress; false while draining, when no new
-// work is taken.
-func (a *Agent) track(k streamKey, r relayRef) bool {
+// track registers an attempt in progress. It returns false while the agent
+// drains, when new attempts are rejected.
+func (a *Agent) track(k attemptKey, r runningAttempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.draining {
-		a.refused++
+	if a.isDraining {
+		a.rejected++
 		return false
 	}
-	a.relays[k] = r
+	a.attempts[k] = r
 	return true
 }
 
-func (a *Agent) untrack(k streamKey) {
+func (a *Agent) untrack(k attemptKey) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.relays, k)
+	delete(a.attempts, k)
 }
 
-// Draining reports whether the agent takes no new work.
+// Draining reports whether the agent rejects new attempts.
 func (a *Agent) Draining() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.draining
+	return a.isDraining
 }
 
-// Drain stops new work at once (orders are refused, and the lease row says
-// draining so entries stop routing here within their refresh), waits up to
-// timeout for the orders in progress to finish, and moves the rest: each
-// gets a Fail so that its entry resumes it elsewhere from the delivered
-// prefix. No request is cut.
+// Drain rejects new attempts, writes to the lease row that the target is
+// draining, and waits up to timeout for the attempts in progress. It then fails
+// the remaining ones, so that their entry instances continue them at other
+// targets.
 func (a *Agent) Drain(ctx context.Context, timeout time.Duration) {
 	a.mu.Lock()
-	a.draining = true
-	n := len(a.relays)
+	a.isDraining = true
+	n := len(a.attempts)
 	a.mu.Unlock()
 	start := time.Now()
-	a.log.Info().Int("inFlight", n).Msgf("agent: draining, %d orders in progress", n)
-	if err := a.heartbeat(ctx); err != nil {
-		a.log.Warn().Err(err).Msg("agent: draining not yet in the table")
+	a.log.Info().Int("inFlight", n).Msgf("agent: draining, %d attempts in progress", n)
+	if err := a.renewLease(ctx); err != nil {
+		a.log.Warn().Err(err).Msg("agent: cannot write to the lease row that the target is draining")
 	}
-	if !a.waitIdle(ctx, timeout) && ctx.Err() == nil {
-		a.move(ctx)
+	if !a.waitUntilIdle(ctx, timeout) && ctx.Err() == nil {
+		a.returnAttempts(ctx)
 	}
 	a.mu.Lock()
-	refused := a.refused
+	refused := a.rejected
 	a.mu.Unlock()
 	a.log.Info().Int("refused", refused).Dur("took", time.Since(start)).
-		Msgf("agent: drained in %v, %d new orders refused", time.Since(start).Round(time.Millisecond), refused)
+		Msgf("agent: drained in %v, %d new attempts rejected", time.Since(start).Round(time.Millisecond), refused)
 }
 
-// move hands every order in progress back to its entry.
-func (a *Agent) move(ctx context.Context) {
+// returnAttempts fails every attempt in progress, so that its entry instance
+// continues it at another target.
+func (a *Agent) returnAttempts(ctx context.Context) {
 	a.mu.Lock()
-	refs := make([]relayRef, 0, len(a.relays))
-	for _, r := range a.relays {
-		refs = append(refs, r)
+	running := make([]runningAttempt, 0, len(a.attempts))
+	for _, r := range a.attempts {
+		running = append(running, r)
 	}
 	a.mu.Unlock()
-	for _, r := range refs {
-		a.tell(ctx, r.conn, wire.Message{Type: wire.TypeFail, RequestID: r.m.RequestID, Attempt: r.m.Attempt, Reason: "moved: target draining"})
+	for _, r := range running {
+		a.sendFinal(ctx, r.conn, wire.Message{Type: wire.TypeFail, RequestID: r.request.RequestID, Attempt: r.request.Attempt, Reason: "moved: target draining"})
 		r.cancel()
 	}
-	a.log.Info().Int("moved", len(refs)).Msgf("agent: moved %d orders to other targets", len(refs))
+	a.log.Info().Int("moved", len(running)).Msgf("agent: moved %d attempts to other targets", len(running))
 }
 
-// waitIdle waits until no order is in progress; false if timeout came first.
-func (a *Agent) waitIdle(ctx context.Context, timeout time.Duration) bool {
+// waitUntilIdle waits until no attempt is in progress. It returns false after
+// the timeout or if ctx ends.
+func (a *Agent) waitUntilIdle(ctx context.Context, timeout time.Duration) bool {
 	deadline := time.Now().Add(timeout)
 	for {
 		a.mu.Lock()
-		left := len(a.relays)
+		inProgress := len(a.attempts)
 		a.mu.Unlock()
-		if left == 0 {
+		if inProgress == 0 {
 			return true
 		}
 		if time.Now().After(deadline) {
--- a/agent/fault.go
+++ b/agent/fault.go
@@ -12,11 +12,11 @@
 
 // Fault kinds of POST /debug/fault, for tests and the load tool.
 const (
-	// FaultPartition cuts the agent off from every entry for ForMs: open
-	// connections drop and new ones are refused, while the target runs on.
+	// FaultPartition closes the connections of all entry instances and rejects
+	// new ones for ForMs. The target keeps running.
 	FaultPartition = "partition"
-	// FaultPause freezes the agent's relaying for ForMs, as a paused
-	// process: tokens are held, then sent late.
+	// FaultPause delays messages from entry instances and tokens by up to ForMs,
+	// as if the process were paused.
 	FaultPause = "pause"
 )
 
@@ -27,25 +27,24 @@
 		ForMs int64  `json:"forMs"`
 	}
 
-	// faults are the agent's in-process fault switches; the zero value is
-	// none.
+	// faults holds the injected faults. The zero value injects none.
 	faults struct {
-		mu         sync.Mutex
-		cutUntil   time.Time
-		pauseUntil time.Time
+		mu               sync.Mutex
+		partitionedUntil time.Time
+		pausedUntil      time.Time
 	}
 )
 
-func (f *faults) cut() bool {
+func (f *faults) isPartitioned() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Now().Before(f.cutUntil)
+	return time.Now().Before(f.partitionedUntil)
 }
 
-// waitPause blocks while the agent is paused.
-func (f *faults) waitPause(ctx context.Context) {
+// waitWhilePaused blocks while a FaultPause is active.
+func (f *faults) waitWhilePaused(ctx context.Context) {
 	f.mu.Lock()
-	d := time.Until(f.pauseUntil)
+	d := time.Until(f.pausedUntil)
 	f.mu.Unlock()
 	if d <= 0 {
 		return
@@ -66,7 +65,7 @@
 	switch f.Kind {
 	case FaultPartition:
 		a.faults.mu.Lock()
-		a.faults.cutUntil = until
+		a.faults.partitionedUntil = until
 		a.faults.mu.Unlock()
 		conns := a.connections()
 		for _, c := range conns {
@@ -75,7 +74,7 @@
 		a.log.Warn().Int64("forMs", f.ForMs).Msgf("agent: partitioned from %d entries for %d ms", len(conns), f.ForMs)
 	case FaultPause:
 		a.faults.mu.Lock()
-		a.faults.pauseUntil = until
+		a.faults.pausedUntil = until
 		a.faults.mu.Unlock()
 		a.log.Warn().Int64("forMs", f.ForMs).Msgf("agent: paused for %d ms", f.ForMs)
 	default:
--- a/agent/lease.go
+++ b/agent/lease.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// DecodeLease reads a lease row's value.
+// DecodeLease decodes the value of a lease row.
 func DecodeLease(b []byte) (LeaseValue, error) {
 	var v LeaseValue
 	err := json.Unmarshal(b, &v)
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -13,7 +13,7 @@
 )
 
 func (a *Agent) serveWire(w http.ResponseWriter, r *http.Request) {
-	if a.faults.cut() {
+	if a.faults.isPartitioned() {
 		http.Error(w, "agent: partitioned", http.StatusServiceUnavailable)
 		return
 	}
@@ -35,7 +35,7 @@
 	}()
 	var (
 		mu      sync.Mutex
-		cancels = map[streamKey]context.CancelFunc{}
+		cancels = map[attemptKey]context.CancelFunc{}
 		wg      sync.WaitGroup
 	)
 	defer wg.Wait()
@@ -44,13 +44,13 @@
 		if err != nil {
 			return
 		}
-		a.faults.waitPause(ctx) // a paused agent reads nothing either
+		a.faults.waitWhilePaused(ctx)
 		switch m.Type {
 		case wire.TypeStart, wire.TypeCall:
-			k := streamKey{m.RequestID, m.Attempt}
-			sctx, scancel := context.WithCancel(ctx)
+			k := attemptKey{m.RequestID, m.Attempt}
+			attemptCtx, cancelAttempt := context.WithCancel(ctx)
 			mu.Lock()
-			cancels[k] = scancel
+			cancels[k] = cancelAttempt
 			mu.Unlock()
 			wg.Add(1)
 			go func() {
@@ -59,22 +59,22 @@
 					mu.Lock()
 					delete(cancels, k)
 					mu.Unlock()
-					scancel()
+					cancelAttempt()
 				}()
-				if !a.track(k, relayRef{cancel: scancel, conn: c, m: m}) {
-					a.fail(sctx, c, m, "target draining", true)
+				if !a.track(k, runningAttempt{cancel: cancelAttempt, conn: c, request: m}) {
+					a.sendFail(attemptCtx, c, m, "target draining", true)
 					return
 				}
 				defer a.untrack(k)
 				if m.Type == wire.TypeStart {
-					a.relay(sctx, c, m)
+					a.generate(attemptCtx, c, m)
 				} else {
-					a.call(sctx, c, m)
+					a.call(attemptCtx, c, m)
 				}
 			}()
 		case wire.TypeCancel:
 			mu.Lock()
-			if f := cancels[streamKey{m.RequestID, m.Attempt}]; f != nil {
+			if f := cancels[attemptKey{m.RequestID, m.Attempt}]; f != nil {
 				f()
 			}
 			mu.Unlock()
@@ -82,74 +82,75 @@
 	}
 }
 
-// fenced reports whether an order must be refused: its fencing number is
-// not the epoch of a lease this agent holds now.
-func (a *Agent) fenced(m wire.Message) (uint64, bool) {
+// isFenced reports whether an attempt must be rejected because its fencing
+// number is not the epoch of a valid lease of this agent. It also returns that
+// epoch, or 0.
+func (a *Agent) isFenced(m wire.Message) (uint64, bool) {
 	e := a.Epoch()
 	return e, e == 0 || m.Fencing != e
 }
 
-// tell sends the last word on an order. Where its entry's connection is gone
-// the entry knows that itself.
-func (a *Agent) tell(ctx context.Context, c *wire.Conn, m wire.Message) {
+// sendFinal sends the last message of an attempt. It only logs an error: after
+// one the entry instance fails the attempt itself.
+func (a *Agent) sendFinal(ctx context.Context, c *wire.Conn, m wire.Message) {
 	if err := c.Send(ctx, m); err != nil {
-		a.log.Info().Str("request", m.RequestID).Int("attempt", m.Attempt).Str("type", m.Type.String()).Err(err).Msg("agent: answer not sent")
+		a.log.Info().Str("request", m.RequestID).Int("attempt", m.Attempt).Str("type", m.Type.String()).Err(err).Msg("agent: cannot send the end of an attempt")
 	}
 }
 
-// fail ends an order without a result; notRun promises that the target never
-// saw it.
-func (a *Agent) fail(ctx context.Context, c *wire.Conn, m wire.Message, reason string, notRun bool) {
-	a.tell(ctx, c, wire.Message{Type: wire.TypeFail, RequestID: m.RequestID, Attempt: m.Attempt, Reason: reason, NotRun: notRun})
+// sendFail ends an attempt without a result; notRun states that the target has
+// not run it.
+func (a *Agent) sendFail(ctx context.Context, c *wire.Conn, m wire.Message, reason string, notRun bool) {
+	a.sendFinal(ctx, c, wire.Message{Type: wire.TypeFail, RequestID: m.RequestID, Attempt: m.Attempt, Reason: reason, NotRun: notRun})
 }
 
-// relay runs one generation attempt on the engine and streams its tokens.
-func (a *Agent) relay(ctx context.Context, c *wire.Conn, m wire.Message) {
-	epoch, fenced := a.fenced(m)
-	if fenced || a.eng == nil {
-		a.log.Warn().Str("request", m.RequestID).Uint64("order", m.Fencing).Uint64("epoch", epoch).Msg("agent: order refused, fencing number is not ours")
-		a.fail(ctx, c, m, "fenced", true)
+// generate runs one attempt of a generation at the engine and relays its tokens.
+func (a *Agent) generate(ctx context.Context, c *wire.Conn, m wire.Message) {
+	epoch, fenced := a.isFenced(m)
+	if fenced || a.engineClient == nil {
+		a.log.Warn().Str("request", m.RequestID).Uint64("order", m.Fencing).Uint64("epoch", epoch).Msg("agent: attempt rejected: its fencing number is not the lease epoch, or the target is no engine")
+		a.sendFail(ctx, c, m, "fenced", true)
 		return
 	}
-	s, err := a.eng.Complete(ctx, engine.Completion{Model: m.Model, Prompt: m.Prompt, MaxTokens: m.MaxTokens,
+	s, err := a.engineClient.Complete(ctx, engine.Completion{Model: m.Model, Prompt: m.Prompt, MaxTokens: m.MaxTokens,
 		Seed: m.Seed, Priority: m.Priority, Prefix: m.Prefix, Fencing: epoch, RequestID: m.RequestID})
 	if err != nil {
-		a.fail(ctx, c, m, err.Error(), errors.Is(err, engine.ErrFenced))
+		a.sendFail(ctx, c, m, err.Error(), errors.Is(err, engine.ErrFenced))
 		return
 	}
 	defer s.Close()
-	off := len(m.Prefix)
+	offset := len(m.Prefix)
 	for {
 		tok, err := s.Next()
 		if errors.Is(err, io.EOF) {
-			a.tell(ctx, c, wire.Message{Type: wire.TypeDone, RequestID: m.RequestID, Attempt: m.Attempt, Offset: off})
+			a.sendFinal(ctx, c, wire.Message{Type: wire.TypeDone, RequestID: m.RequestID, Attempt: m.Attempt, Offset: offset})
 			return
 		}
 		if err != nil {
 			if ctx.Err() == nil {
-				a.log.Warn().Str("request", m.RequestID).Int("attempt", m.Attempt).Int("offset", off).Msg("agent: engine stream broke off")
-				a.fail(ctx, c, m, err.Error(), false)
+				a.log.Warn().Str("request", m.RequestID).Int("attempt", m.Attempt).Int("offset", offset).Msg("agent: engine stream interrupted")
+				a.sendFail(ctx, c, m, err.Error(), false)
 			}
 			return
 		}
-		a.faults.waitPause(ctx)
-		if err := c.Send(ctx, wire.Message{Type: wire.TypeToken, RequestID: m.RequestID, Attempt: m.Attempt, Offset: off, Text: tok}); err != nil {
+		a.faults.waitWhilePaused(ctx)
+		if err := c.Send(ctx, wire.Message{Type: wire.TypeToken, RequestID: m.RequestID, Attempt: m.Attempt, Offset: offset, Text: tok}); err != nil {
 			return
 		}
-		off++
+		offset++
 	}
 }
 
-// call runs one plain service call.
+// call runs one attempt of a plain service call.
 func (a *Agent) call(ctx context.Context, c *wire.Conn, m wire.Message) {
-	if _, fenced := a.fenced(m); fenced || a.svc == nil {
-		a.fail(ctx, c, m, "fenced", true)
+	if _, fenced := a.isFenced(m); fenced || a.serviceClient == nil {
+		a.sendFail(ctx, c, m, "fenced", true)
 		return
 	}
-	res, err := a.svc.Do(ctx, m.Op, service.Call{RequestID: m.RequestID, IdempotencyKey: m.IdempotencyKey, Org: m.Org})
+	res, err := a.serviceClient.Do(ctx, m.Op, service.Call{RequestID: m.RequestID, IdempotencyKey: m.IdempotencyKey, Org: m.Org})
 	if err != nil {
-		a.fail(ctx, c, m, err.Error(), false)
+		a.sendFail(ctx, c, m, err.Error(), false)
 		return
 	}
-	a.tell(ctx, c, wire.Message{Type: wire.TypeResult, RequestID: m.RequestID, Attempt: m.Attempt, Answer: res.Answer})
+	a.sendFinal(ctx, c, wire.Message{Type: wire.TypeResult, RequestID: m.RequestID, Attempt: m.Attempt, Answer: res.Answer})
 }
