--- a/handlers/caller.go
+++ b/handlers/caller.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	caller struct{ e *entry.Entry }
+	callerAPI struct{ e *entry.Entry }
 
 	// generateBody is the JSON body of POST /v1/generate.
 	generateBody struct {
@@ -43,17 +43,16 @@
 	}
 )
 
-// ops maps the path of a call to its kind.
-var ops = map[string]ragworthitch.Kind{
+var kindsByOp = map[string]ragworthitch.Kind{
 	"status": ragworthitch.KindShort, "balance": ragworthitch.KindShort,
 	"quote": ragworthitch.KindQuote, "charge": ragworthitch.KindCharge,
 }
 
-func (c caller) retryAfter() int { return c.e.Settings().Timeouts.RetryAfterS }
+func (c callerAPI) retryAfter() int { return c.e.Settings().Timeouts.RetryAfterS }
 
-// generate starts a streamed generation and streams it as server-sent
-// events; each event's id is the token's offset.
-func (c caller) generate(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// generate starts a generation and streams it as server-sent events; the id of
+// an event is the offset of its token.
+func (c callerAPI) generate(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var b generateBody
 	if !decodeBody(w, r, &b) {
 		return
@@ -65,14 +64,14 @@
 	})
 	s, err := c.e.Generate(r.Context(), req, b.Prompt)
 	if err != nil {
-		c.refuse(w, err)
+		c.writeCallError(w, err)
 		return
 	}
 	c.stream(w, r, s, 0)
 }
 
 // reconnect continues a stream after the offset in Last-Event-ID.
-func (c caller) reconnect(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (c callerAPI) reconnect(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	s, err := c.e.Attach(r.Context(), p.ByName("id"))
 	switch {
 	case errors.Is(err, entry.ErrOwnedElsewhere):
@@ -94,14 +93,14 @@
 	c.stream(w, r, s, from)
 }
 
-// stream sends a stream's tokens after the first so many, as they come.
-func (c caller) stream(w http.ResponseWriter, r *http.Request, s *entry.Stream, from int) {
+// stream sends the tokens of a stream from an offset on.
+func (c callerAPI) stream(w http.ResponseWriter, r *http.Request, s *entry.Stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	w.Header().Set(HeaderRequestID, s.Request().ID())
 	w.WriteHeader(http.StatusOK)
-	out := events{w: w, flush: http.NewResponseController(w).Flush}
-	out.send()
+	out := eventWriter{w: w, flush: http.NewResponseController(w).Flush}
+	out.flushEvents()
 	for out.err == nil {
 		toks, done, err := s.Next(r.Context(), from)
 		if r.Context().Err() != nil {
@@ -113,25 +112,24 @@
 		from += len(toks)
 		switch {
 		case done && err != nil:
-			// Given up: the final answer goes out at once, with when to
-			// come back.
-			out.add("error", noID, errorBody{Error: err.Error(), RetryAfterS: c.retryAfter()})
+			// The stream has failed.
+			out.add("error", noEventID, errorBody{Error: err.Error(), RetryAfterS: c.retryAfter()})
 		case done:
-			out.add("done", noID, doneEvent{Tokens: from, Attempts: s.Attempts()})
+			out.add("done", noEventID, doneEvent{Tokens: from, Attempts: s.Attempts()})
 		}
-		out.send()
+		out.flushEvents()
 		if done {
 			break
 		}
 	}
 	if out.err != nil {
-		c.e.Log().Info().Str("request", s.Request().ID()).Int("tokens", from).Err(out.err).Msg("entry: caller left; the stream goes on for it")
+		c.e.Log().Info().Str("request", s.Request().ID()).Int("tokens", from).Err(out.err).Msg("entry: caller disconnected; the stream continues")
 	}
 }
 
-// call runs a short plain service call.
-func (c caller) call(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	kind, ok := ops[p.ByName("op")]
+// call runs a plain service call.
+func (c callerAPI) call(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+	kind, ok := kindsByOp[p.ByName("op")]
 	if !ok {
 		writeError(w, http.StatusNotFound, fmt.Sprintf("unknown operation %q", p.ByName("op")), true, 0)
 		return
@@ -146,15 +144,16 @@
 	})
 	a, err := c.e.Call(r.Context(), req)
 	if err != nil {
-		c.refuse(w, err)
+		c.writeCallError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(map[string]any{"answer": a.Text, "replayed": a.Replayed})
 }
 
-// refuse answers an error at once, saying whether the request ran.
-func (c caller) refuse(w http.ResponseWriter, err error) {
+// writeCallError answers with an error and whether the request certainly did not
+// run.
+func (c callerAPI) writeCallError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, ragworthitch.ErrBadRequest), errors.Is(err, ragworthitch.ErrUnknownModel),
 		errors.Is(err, ragworthitch.ErrUnknownOrg):
@@ -168,15 +167,15 @@
 	case errors.Is(err, entry.ErrNoTarget), errors.Is(err, entry.ErrNotRun):
 		writeError(w, http.StatusServiceUnavailable, err.Error(), true, c.retryAfter())
 	default:
-		// A repeatable call that failed: it may have run, and may be asked
-		// again.
+		// A repeatable call has failed. It may have run.
 		writeError(w, http.StatusBadGateway, err.Error(), false, c.retryAfter())
 	}
 }
 
-// decodeBody reads a JSON body strictly; on failure it has answered 400.
+// decodeBody decodes a JSON body without unknown fields. On failure it answers
+// 400 and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
-	dec := json.NewDecoder(io.LimitReader(r.Body, maxBody))
+	dec := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
 		writeError(w, http.StatusBadRequest, "bad request body: "+err.Error(), true, 0)
--- a/handlers/caller_test.go
+++ b/handlers/caller_test.go
@@ -19,9 +19,9 @@
 	"github.com/ragworthitch/ragworthitch/rwtest"
 )
 
-// serve runs an entry's caller API on loopback; with engine true, one fake
-// engine agent is there to serve.
-func serve(t *testing.T, engine bool) (*rwtest.Platform, string) {
+// startCallerAPI starts an entry instance and serves its caller API; if engine
+// is true, there is one fake engine.
+func startCallerAPI(t *testing.T, engine bool) (*rwtest.Platform, string) {
 	t.Helper()
 	p := rwtest.StartPlatform(t)
 	if engine {
@@ -53,10 +53,10 @@
 	return resp
 }
 
-// Bad input gets a clear error at once, says it did not run, and leaves
-// nothing behind: no request row, no stream.
+// Invalid input must be reported as not run and leave no request row or
+// checkpoint.
 func TestBadInputLeavesNothing(t *testing.T) {
-	p, url := serve(t, true)
+	p, url := startCallerAPI(t, true)
 	tests := []struct {
 		name, id, body string
 		code           int
@@ -91,10 +91,9 @@
 	}
 }
 
-// With no target the refusal is immediate, says not run, and tells the
-// caller when to come back.
+// Without a target a request must be rejected at once, with a Retry-After header.
 func TestNoTargetRefusedAtOnce(t *testing.T) {
-	_, url := serve(t, false)
+	_, url := startCallerAPI(t, false)
 	t0 := time.Now()
 	resp := post(t, url+"/v1/generate", "n1", `{"org":"o","model":"m","maxTokens":5}`)
 	assert.Less(t, time.Since(t0), 500*time.Millisecond)
@@ -102,13 +101,13 @@
 	assert.Equal(t, "2", resp.Header.Get("Retry-After"))
 }
 
-// A stream's events carry the token offset as id; a reconnect with
-// Last-Event-ID continues after it.
+// The id of an event is the offset of its token, and a reconnect with
+// Last-Event-ID must continue after that offset.
 func TestReconnectContinues(t *testing.T) {
-	_, url := serve(t, true)
+	_, url := startCallerAPI(t, true)
 	resp := post(t, url+"/v1/generate", "s1", `{"org":"o","model":"m","maxTokens":20,"prompt":"p"}`)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	ids, end := events(t, resp)
+	ids, end := readEvents(t, resp)
 	assert.Equal(t, "done", end)
 	require.Len(t, ids, 20)
 	assert.Equal(t, "0", ids[0])
@@ -118,12 +117,12 @@
 	again, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer again.Body.Close()
-	ids, end = events(t, again)
+	ids, end = readEvents(t, again)
 	assert.Equal(t, "done", end)
 	assert.Equal(t, []string{"15", "16", "17", "18", "19"}, ids)
 }
 
-func events(t *testing.T, resp *http.Response) (ids []string, end string) {
+func readEvents(t *testing.T, resp *http.Response) (ids []string, end string) {
 	t.Helper()
 	sc := bufio.NewScanner(resp.Body)
 	for sc.Scan() {
--- a/handlers/debug.go
+++ b/handlers/debug.go
@@ -12,12 +12,12 @@
 )
 
 type (
-	debug struct {
+	debugAPI struct {
 		e *entry.Entry
 		m *metrics.Reporter
 	}
 
-	// StatsBody is the JSON of GET /debug/stats.
+	// StatsBody is the JSON body of GET /debug/stats.
 	StatsBody struct {
 		Entry          string `json:"entry"`
 		Streams        int64  `json:"streams"`
@@ -35,9 +35,8 @@
 	}
 )
 
-// fault makes the entry die at once (kind "die"), as a crash would; for
-// the load tool's killEntry.
-func (d debug) fault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// fault exits the process without cleanup, for the load tool's killEntry.
+func (d debugAPI) fault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var f struct {
 		Kind string `json:"kind"`
 	}
@@ -48,7 +47,7 @@
 	os.Exit(3)
 }
 
-func (d debug) health(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (d debugAPI) health(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if !d.e.Ready() {
 		writeError(w, http.StatusServiceUnavailable, "no live target yet", true, 1)
 		return
@@ -56,7 +55,7 @@
 	w.Write([]byte("ok\n"))
 }
 
-func (d debug) stats(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (d debugAPI) stats(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	s := d.e.Stats()
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(StatsBody{
--- a/handlers/events.go
+++ b/handlers/events.go
@@ -6,18 +6,18 @@
 	"net/http"
 )
 
-// noID is for events that callers cannot come back to.
-const noID = -1
+// noEventID marks events without an id, which callers cannot resume after.
+const noEventID = -1
 
-// events writes server-sent events and keeps the first error.
-type events struct {
+// eventWriter writes server-sent events and keeps the first error.
+type eventWriter struct {
 	w     http.ResponseWriter
 	flush func() error
 	err   error
 }
 
 // add writes one event with a JSON value.
-func (e *events) add(name string, id int, v any) {
+func (e *eventWriter) add(name string, id int, v any) {
 	if e.err != nil {
 		return
 	}
@@ -25,7 +25,7 @@
 	if data, e.err = json.Marshal(v); e.err != nil {
 		return
 	}
-	if id != noID {
+	if id != noEventID {
 		_, e.err = fmt.Fprintf(e.w, "id: %d\n", id)
 	}
 	if e.err == nil {
@@ -33,8 +33,8 @@
 	}
 }
 
-// send sends what has been written.
-func (e *events) send() {
+// flushEvents flushes the events written so far.
+func (e *eventWriter) flushEvents() {
 	if e.err == nil {
 		e.err = e.flush()
 	}
--- a/handlers/handlers.go
+++ b/handlers/handlers.go
@@ -1,6 +1,5 @@
-// Package handlers serves the HTTP APIs of an entry instance, one file per
-// audience: callers (caller.go) and the debug endpoints for operators and
-// tools (debug.go).
+// Package handlers implements the HTTP APIs of an entry instance: the caller API
+// (caller.go) and the debug endpoints for operators and tools (debug.go).
 package handlers
 
 import (
@@ -21,24 +20,25 @@
 	HeaderLastEventID    = "Last-Event-ID"
 )
 
-// maxBody bounds a request body; a prompt of MaxPromptTokens words fits.
-const maxBody = 1 << 20
+// maxBodyBytes bounds a request body, with room for a prompt of MaxPromptTokens
+// words.
+const maxBodyBytes = 1 << 20
 
-// errorBody is the JSON of every error answer.
+// errorBody is the JSON body of an error.
 type errorBody struct {
 	Error       string `json:"error"`
 	NotRun      bool   `json:"notRun"`
 	RetryAfterS int    `json:"retryAfterS,omitempty"`
 }
 
-// New returns the router of an entry.
+// New returns the handler of the APIs of an entry instance; m may be nil.
 func New(e *entry.Entry, m *metrics.Reporter) http.Handler {
 	r := httprouter.New()
-	c := caller{e: e}
+	c := callerAPI{e: e}
 	r.POST("/v1/generate", c.generate)
 	r.GET("/v1/generate/:id", c.reconnect)
 	r.POST("/v1/call/:op", c.call)
-	d := debug{e: e, m: m}
+	d := debugAPI{e: e, m: m}
 	r.GET("/healthz", d.health)
 	r.GET("/debug/stats", d.stats)
 	r.POST("/debug/fault", d.fault)
