--- a/engine/client.go
+++ b/engine/client.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Client speaks to one model engine.
+// Client is a client of one model engine.
 type Client struct {
 	base string
 	http *http.Client
@@ -25,24 +25,25 @@
 
 // Stream reads a completion stream, one token a call.
 type Stream struct {
-	body io.ReadCloser
-	sc   *bufio.Scanner
+	body  io.ReadCloser
+	lines *bufio.Scanner
 }
 
-// Complete starts a streaming completion. It returns ErrFenced when the
-// engine refused the fencing number and ErrEngine when it cannot be reached.
+// Complete starts a streaming completion. It returns ErrFenced if the engine
+// rejects the fencing number, and ErrEngine if the engine is unreachable or
+// rejects the completion for another reason.
 func (c *Client) Complete(ctx context.Context, req Completion) (*Stream, error) {
 	req.Stream = true
 	b, err := json.Marshal(req)
 	if err != nil {
 		return nil, err
 	}
-	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/completions", bytes.NewReader(b))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/completions", bytes.NewReader(b))
 	if err != nil {
 		return nil, err
 	}
-	hr.Header.Set("Content-Type", "application/json")
-	resp, err := c.http.Do(hr)
+	httpReq.Header.Set("Content-Type", "application/json")
+	resp, err := c.http.Do(httpReq)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrEngine, err)
 	}
@@ -56,14 +57,14 @@
 	}
 	sc := bufio.NewScanner(resp.Body)
 	sc.Buffer(make([]byte, 64<<10), 1<<20)
-	return &Stream{body: resp.Body, sc: sc}, nil
+	return &Stream{body: resp.Body, lines: sc}, nil
 }
 
-// Next returns the next token; io.EOF at the end of a whole stream, and an
-// error wrapping ErrEngine when the stream broke off.
+// Next returns the next token, io.EOF at the end of a complete stream, or an
+// error that wraps ErrEngine.
 func (s *Stream) Next() (string, error) {
-	for s.sc.Scan() {
-		line := s.sc.Text()
+	for s.lines.Scan() {
+		line := s.lines.Text()
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
@@ -77,26 +78,26 @@
 		}
 		return ch.Choices[0].Text, nil
 	}
-	err := s.sc.Err()
+	err := s.lines.Err()
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
 	return "", fmt.Errorf("%w: %v", ErrEngine, err)
 }
 
-// Close ends the stream; the engine cancels the generation.
+// Close closes the stream, upon which the engine cancels the generation.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// Load reads the engine's (lagging) load report.
+// Load requests the engine's load.
 func (c *Client) Load(ctx context.Context) (Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	var l Load
-	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/load", nil)
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/load", nil)
 	if err != nil {
 		return l, err
 	}
-	resp, err := c.http.Do(hr)
+	resp, err := c.http.Do(httpReq)
 	if err != nil {
 		return l, fmt.Errorf("%w: %v", ErrEngine, err)
 	}
@@ -107,14 +108,14 @@
 	return l, nil
 }
 
-// Fault sends a fault order to a stand-in engine.
+// Fault injects a fault into a stand-in engine.
 func (c *Client) Fault(ctx context.Context, f Fault) error {
 	b, _ := json.Marshal(f)
-	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/fault", bytes.NewReader(b))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/fault", bytes.NewReader(b))
 	if err != nil {
 		return err
 	}
-	resp, err := c.http.Do(hr)
+	resp, err := c.http.Do(httpReq)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrEngine, err)
 	}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,27 +1,24 @@
-// Package engine speaks to model engines: an OpenAI-style streaming
-// completions API over HTTP with server-sent events. It holds the client the
-// agent uses and the stand-in engine that takes a real engine's place on one
+// Package engine implements a client of model engines with an OpenAI-style
+// streaming completions API, and a stand-in engine for tests and demos on one
 // machine.
 //
 // Protocol:
 //
 //	POST /v1/completions   body Completion; SSE of Chunk, then "data: [DONE]"
-//	GET  /v1/load          200 Load (as it was LoadLag ago: reports lag)
+//	GET  /v1/load          200 Load (LoadLag ago)
 //	POST /v1/fault         body Fault; 204 (die: the process exits)
 //	GET  /debug/stats      200 Stats
 //
-// Completion.Prefix resumes a generation: the engine prefills the prompt
-// and the tokens already delivered and continues after them.
+// Completion.Prefix resumes a generation: the engine prefills the prompt and the
+// tokens that the caller has, and continues after them.
 package engine
 
 import "errors"
 
 var (
-	// ErrFenced is returned when the engine refused an order with an old
-	// fencing number.
+	// ErrFenced is returned when the engine rejects an old fencing number.
 	ErrFenced = errors.New("engine: fencing number too old")
-	// ErrEngine is returned when the engine could not be reached or broke
-	// off the stream.
+	// ErrEngine is returned when the engine is unreachable or its stream fails.
 	ErrEngine = errors.New("engine: stream failed")
 )
 
@@ -39,7 +36,7 @@
 		RequestID string   `json:"request_id,omitempty"`
 	}
 
-	// Chunk is one server-sent event of a completion stream.
+	// Chunk is the data of one server-sent event of a completion stream.
 	Chunk struct {
 		ID      string   `json:"id"`
 		Object  string   `json:"object"`
@@ -53,21 +50,23 @@
 		FinishReason string `json:"finish_reason,omitempty"`
 	}
 
-	// Load is an engine's load report.
+	// Load is the number of sequences in the batch and in the queue of an
+	// engine.
 	Load struct {
 		Running int   `json:"running"`
 		Waiting int   `json:"waiting"`
 		AtMs    int64 `json:"atMs"`
 	}
 
-	// Fault makes the stand-in misbehave: Kind "die" exits the process,
+	// Fault injects a fault into the stand-in: Kind "die" exits the process,
 	// "pause" stops all output for ForMs.
 	Fault struct {
 		Kind  string `json:"kind"`
 		ForMs int64  `json:"forMs,omitempty"`
 	}
 
-	// Stats counts what the stand-in has done.
+	// Stats are the stand-in's counters: tokens generated and prefilled, cache
+	// hits, completions, and completions rejected by their fencing number.
 	Stats struct {
 		Generated   int64 `json:"generated"`
 		Prefilled   int64 `json:"prefilled"`
--- a/engine/standin.go
+++ b/engine/standin.go
@@ -20,34 +20,33 @@
 	"github.com/ragworthitch/ragworthitch"
 )
 
-// Sizes of the stand-in's work.
 const (
-	prefillPerStep = 512 // prompt tokens prefilled in one step
-	cachePrefix    = 64  // leading prompt words that make the cache key
-	loadHistory    = 64  // load snapshots kept to answer with a lag
+	prefillTokensPerStep = 512 // prompt tokens
+	cacheKeyWords        = 64  // leading words of the prompt in the cache key
+	maxLoadSnapshots     = 64  // bounds the delay of Load reports
 )
 
 type (
-	// StandIn is a model engine stand-in: continuous batching at a fixed
-	// step time, a bounded prefix cache, priorities, resume from a prefix,
-	// cancel, lagging load reports, fencing and fault switches.
+	// StandIn imitates a model engine: continuous batching at a fixed step
+	// time, a bounded prefix cache, priorities, resume from a prefix,
+	// cancellation, delayed load reports, fencing and fault injection.
 	StandIn struct {
 		cfg StandInConfig
 		log zerolog.Logger
 
-		mu        sync.Mutex
-		seqs      []*sequence
-		arrivals  int64
-		fencing   uint64
-		cache     *lru
-		pauseTill time.Time
-		history   []Load
+		mu            sync.Mutex
+		sequences     []*sequence
+		arrivals      int64
+		fencing       uint64
+		cache         *lru
+		pausedUntil   time.Time
+		loadSnapshots []Load
 
 		stats struct{ generated, prefilled, cacheHits, completions, fenced atomic.Int64 }
 		exit  func(int)
 	}
 
-	// StandInConfig sets the stand-in's behaviour.
+	// StandInConfig configures a StandIn.
 	StandInConfig struct {
 		Name          string
 		Models        []string
@@ -55,18 +54,18 @@
 		Batch         int
 		CacheBlocks   int
 		LoadLag       time.Duration
-		RefuseFencing bool // refuse orders with an old fencing number, else ignore it
+		RefuseFencing bool // reject old fencing numbers instead of ignoring them
 	}
 
 	sequence struct {
-		id       int64
-		priority int
-		prefill  int // steps of prefill left
-		next     int // offset of the next token
-		max      int
-		last     string
-		out      chan string
-		finished bool
+		id           int64
+		priority     int
+		prefillSteps int // steps left
+		nextOffset   int
+		max          int
+		lastToken    string
+		tokens       chan string
+		isFinished   bool
 	}
 
 	lru struct {
@@ -76,7 +75,7 @@
 	}
 )
 
-// NewStandIn returns an engine stand-in; Run drives its decode loop.
+// NewStandIn returns an engine stand-in that decodes while Run runs.
 func NewStandIn(cfg StandInConfig, log zerolog.Logger) *StandIn {
 	if cfg.Step <= 0 {
 		cfg.Step = 10 * time.Millisecond
@@ -87,7 +86,7 @@
 	return &StandIn{cfg: cfg, log: log, cache: &lru{max: max(cfg.CacheBlocks, 1), order: list.New(), items: map[uint64]*list.Element{}}, exit: os.Exit}
 }
 
-// Run steps the batch until stop is closed.
+// Run executes decode steps until stop is closed.
 func (s *StandIn) Run(stop <-chan struct{}) {
 	t := time.NewTicker(s.cfg.Step)
 	defer t.Stop()
@@ -96,62 +95,62 @@
 		case <-stop:
 			return
 		case now := <-t.C:
-			s.step(now)
+			s.decodeStep(now)
 		}
 	}
 }
 
-// step decodes one token for each running sequence, highest priority first.
-func (s *StandIn) step(now time.Time) {
+// decodeStep decodes one token for each running sequence, highest priority first.
+func (s *StandIn) decodeStep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.record(now)
-	if now.Before(s.pauseTill) {
+	s.recordLoad(now)
+	if now.Before(s.pausedUntil) {
 		return
 	}
-	slices.SortStableFunc(s.seqs, func(a, b *sequence) int {
+	slices.SortStableFunc(s.sequences, func(a, b *sequence) int {
 		if a.priority != b.priority {
 			return b.priority - a.priority
 		}
 		return int(a.id - b.id)
 	})
-	live := s.seqs[:0]
-	for i, q := range s.seqs {
-		if q.finished {
+	unfinished := s.sequences[:0]
+	for i, q := range s.sequences {
+		if q.isFinished {
 			continue
 		}
-		live = append(live, q)
+		unfinished = append(unfinished, q)
 		if i >= s.cfg.Batch {
-			continue // waits for a slot in the batch
+			continue // queued until the batch has a free slot
 		}
-		if q.prefill > 0 {
-			q.prefill--
+		if q.prefillSteps > 0 {
+			q.prefillSteps--
 			continue
 		}
-		tok := q.last // the first token, chosen on arrival
-		if q.next > 0 {
-			tok = ragworthitch.NextToken(q.last, q.next)
+		tok := q.lastToken // of a new generation: the first token, set by admit
+		if q.nextOffset > 0 {
+			tok = ragworthitch.NextToken(q.lastToken, q.nextOffset)
 		}
 		select {
-		case q.out <- tok:
-			q.last = tok
-			q.next++
+		case q.tokens <- tok:
+			q.lastToken = tok
+			q.nextOffset++
 			s.stats.generated.Add(1)
 		default:
-			continue // the reader is behind; the token is made again next step
+			continue // the reader is behind; retry in the next step
 		}
-		if q.next >= q.max {
-			q.finished = true
-			close(q.out)
+		if q.nextOffset >= q.max {
+			q.isFinished = true
+			close(q.tokens)
 		}
 	}
-	s.seqs = live
+	s.sequences = unfinished
 }
 
-func (s *StandIn) record(now time.Time) {
+func (s *StandIn) recordLoad(now time.Time) {
 	running, waiting := 0, 0
-	for i, q := range s.seqs {
-		if q.finished {
+	for i, q := range s.sequences {
+		if q.isFinished {
 			continue
 		}
 		if i < s.cfg.Batch {
@@ -160,9 +159,9 @@
 			waiting++
 		}
 	}
-	s.history = append(s.history, Load{Running: running, Waiting: waiting, AtMs: now.UnixMilli()})
-	if len(s.history) > loadHistory {
-		s.history = s.history[len(s.history)-loadHistory:]
+	s.loadSnapshots = append(s.loadSnapshots, Load{Running: running, Waiting: waiting, AtMs: now.UnixMilli()})
+	if len(s.loadSnapshots) > maxLoadSnapshots {
+		s.loadSnapshots = s.loadSnapshots[len(s.loadSnapshots)-maxLoadSnapshots:]
 	}
 }
 
@@ -172,7 +171,7 @@
 	defer s.mu.Unlock()
 	cut := now.Add(-s.cfg.LoadLag).UnixMilli()
 	var l Load
-	for _, h := range s.history {
+	for _, h := range s.loadSnapshots {
 		if h.AtMs > cut {
 			break
 		}
@@ -181,7 +180,7 @@
 	return l
 }
 
-// Stats returns the stand-in's counts.
+// Stats returns the stand-in's counters.
 func (s *StandIn) Stats() Stats {
 	return Stats{
 		Generated: s.stats.generated.Load(), Prefilled: s.stats.prefilled.Load(),
@@ -190,14 +189,14 @@
 	}
 }
 
-// Handler serves the engine protocol.
+// Handler returns the handler of the engine protocol.
 func (s *StandIn) Handler() http.Handler {
 	r := httprouter.New()
-	r.POST("/v1/completions", s.complete)
+	r.POST("/v1/completions", s.serveCompletion)
 	r.GET("/v1/load", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		writeJSON(w, http.StatusOK, s.Load(time.Now()))
 	})
-	r.POST("/v1/fault", s.fault)
+	r.POST("/v1/fault", s.serveFault)
 	r.GET("/debug/stats", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		writeJSON(w, http.StatusOK, s.Stats())
 	})
@@ -215,25 +214,25 @@
 		s.fencing = max(s.fencing, c.Fencing)
 	}
 	s.arrivals++
-	q := &sequence{id: s.arrivals, priority: c.Priority, max: c.MaxTokens, out: make(chan string, 64)}
-	toFill := len(strings.Fields(c.Prompt)) + len(c.Prefix)
+	q := &sequence{id: s.arrivals, priority: c.Priority, max: c.MaxTokens, tokens: make(chan string, 64)}
+	prefillTokens := len(strings.Fields(c.Prompt)) + len(c.Prefix)
 	if s.cache.touch(cacheKey(c.Model, c.Prompt)) {
 		s.stats.cacheHits.Add(1)
-		toFill -= min(cachePrefix, len(strings.Fields(c.Prompt)))
+		prefillTokens -= min(cacheKeyWords, len(strings.Fields(c.Prompt)))
 	}
-	s.stats.prefilled.Add(int64(toFill))
-	q.prefill = (toFill + prefillPerStep - 1) / prefillPerStep
+	s.stats.prefilled.Add(int64(prefillTokens))
+	q.prefillSteps = (prefillTokens + prefillTokensPerStep - 1) / prefillTokensPerStep
 	if n := len(c.Prefix); n > 0 {
-		q.next = n
-		q.last = c.Prefix[n-1]
+		q.nextOffset = n
+		q.lastToken = c.Prefix[n-1]
 	} else {
-		q.last = ragworthitch.FirstToken(c.Model, c.Prompt, c.Seed)
+		q.lastToken = ragworthitch.FirstToken(c.Model, c.Prompt, c.Seed)
 	}
-	if q.next >= q.max {
-		q.finished = true
-		close(q.out)
+	if q.nextOffset >= q.max {
+		q.isFinished = true
+		close(q.tokens)
 	}
-	s.seqs = append(s.seqs, q)
+	s.sequences = append(s.sequences, q)
 	s.stats.completions.Add(1)
 	return q, nil
 }
@@ -241,13 +240,13 @@
 func (s *StandIn) cancel(q *sequence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !q.finished {
-		q.finished = true
-		close(q.out)
+	if !q.isFinished {
+		q.isFinished = true
+		close(q.tokens)
 	}
 }
 
-func (s *StandIn) complete(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s *StandIn) serveCompletion(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var c Completion
 	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<24)).Decode(&c); err != nil {
 		http.Error(w, "bad completion: "+err.Error(), http.StatusBadRequest)
@@ -278,7 +277,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case tok, ok := <-q.out:
+		case tok, ok := <-q.tokens:
 			if !ok {
 				fmt.Fprint(w, "data: [DONE]\n\n")
 				if fl != nil {
@@ -288,14 +287,14 @@
 			}
 			b, _ := json.Marshal(Chunk{ID: id, Object: "text_completion", Choices: []Choice{{Text: tok}}})
 			fmt.Fprintf(w, "data: %s\n\n", b)
-			if fl != nil && len(q.out) == 0 {
+			if fl != nil && len(q.tokens) == 0 {
 				fl.Flush()
 			}
 		}
 	}
 }
 
-func (s *StandIn) fault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s *StandIn) serveFault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var f Fault
 	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&f); err != nil {
 		http.Error(w, "bad fault: "+err.Error(), http.StatusBadRequest)
@@ -303,11 +302,11 @@
 	}
 	switch f.Kind {
 	case "die":
-		s.log.Warn().Msg("engine: told to die, exiting now")
+		s.log.Warn().Msg("engine: exiting on an injected fault")
 		s.exit(3)
 	case "pause":
 		s.mu.Lock()
-		s.pauseTill = time.Now().Add(time.Duration(f.ForMs) * time.Millisecond)
+		s.pausedUntil = time.Now().Add(time.Duration(f.ForMs) * time.Millisecond)
 		s.mu.Unlock()
 		s.log.Warn().Int64("forMs", f.ForMs).Msg("engine: paused")
 	default:
@@ -321,13 +320,14 @@
 	words := strings.Fields(prompt)
 	h := fnv.New64a()
 	h.Write([]byte(model))
-	for _, w := range words[:min(cachePrefix, len(words))] {
+	for _, w := range words[:min(cacheKeyWords, len(words))] {
 		h.Write([]byte(w))
 	}
 	return h.Sum64()
 }
 
-// touch records a use of k and reports whether it was cached.
+// touch adds k, or marks it as the most recently used key, and reports whether
+// it was cached.
 func (c *lru) touch(k uint64) bool {
 	if e, ok := c.items[k]; ok {
 		c.order.MoveToFront(e)
