--- a/service/service.go
+++ b/service/service.go
@@ -1,14 +1,14 @@
-// Package service speaks to plain back-end services (job status, card
-// balance, quote, charge) over HTTP with JSON, and holds the stand-in that
-// takes their place on one machine.
+// Package service implements a client of plain back-end services (job status,
+// card balance, quote, charge) with JSON over HTTP, and a stand-in service for
+// tests and demos on one machine.
 //
 // Protocol:
 //
 //	POST /v1/{op}        body Call; 200 Result
 //	GET  /debug/counts   200 map of idempotency key to times run (quote, charge)
 //
-// Quote and charge may not be repeated; the stand-in counts how often each
-// key ran, so a test can prove a call ran at most once.
+// Quote and charge are non-repeatable. The stand-in counts the runs of each
+// idempotency key, so that a test can check that a call ran at most once.
 package service
 
 import (
@@ -34,47 +34,48 @@
 	OpCharge  = "charge"
 )
 
-// ErrService is returned when the service could not be reached or failed.
+// ErrService is returned when the service is unreachable or fails.
 var ErrService = errors.New("service: call failed")
 
 type (
-	// Call is one call of an operation.
+	// Call is the body of a call.
 	Call struct {
 		RequestID      string `json:"requestId"`
 		IdempotencyKey string `json:"idempotencyKey,omitempty"`
 		Org            string `json:"org"`
 	}
 
-	// Result is a call's answer.
+	// Result is the answer to a call. Ran is how often its idempotency key has
+	// run.
 	Result struct {
 		Op     string `json:"op"`
 		Answer string `json:"answer"`
 		Ran    int    `json:"ran"`
 	}
 
-	// StandIn is a plain service stand-in; the zero value is ready.
+	// StandIn imitates a plain service. The zero value is ready to use.
 	StandIn struct {
 		Name    string
 		Latency time.Duration
 
-		mu     sync.Mutex
-		counts map[string]int
+		mu        sync.Mutex
+		runsByKey map[string]int
 	}
 
-	// Client speaks to one plain service.
+	// Client is a client of one plain service.
 	Client struct {
 		base string
 		http *http.Client
 	}
 )
 
-// Handler serves the service protocol.
+// Handler returns the handler of the service protocol.
 func (s *StandIn) Handler() http.Handler {
 	r := httprouter.New()
-	r.POST("/v1/:op", s.call)
+	r.POST("/v1/:op", s.serveCall)
 	r.GET("/debug/counts", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		s.mu.Lock()
-		b, _ := json.Marshal(s.counts)
+		b, _ := json.Marshal(s.runsByKey)
 		s.mu.Unlock()
 		w.Header().Set("Content-Type", "application/json")
 		w.Write(b)
@@ -82,7 +83,7 @@
 	return r
 }
 
-func (s *StandIn) call(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (s *StandIn) serveCall(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	op := p.ByName("op")
 	var c Call
 	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&c); err != nil {
@@ -98,11 +99,11 @@
 			return
 		}
 		s.mu.Lock()
-		if s.counts == nil {
-			s.counts = map[string]int{}
+		if s.runsByKey == nil {
+			s.runsByKey = map[string]int{}
 		}
-		s.counts[c.IdempotencyKey]++
-		res.Ran = s.counts[c.IdempotencyKey]
+		s.runsByKey[c.IdempotencyKey]++
+		res.Ran = s.runsByKey[c.IdempotencyKey]
 		s.mu.Unlock()
 	default:
 		http.Error(w, fmt.Sprintf("unknown operation %q", op), http.StatusNotFound)
@@ -123,14 +124,14 @@
 	return &Client{base: "http://" + addr, http: &http.Client{Timeout: timeout}}
 }
 
-// Do calls op; errors wrap ErrService.
+// Do calls an operation. Errors wrap ErrService.
 func (c *Client) Do(ctx context.Context, op string, call Call) (Result, error) {
 	b, _ := json.Marshal(call)
-	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/"+op, bytes.NewReader(b))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/"+op, bytes.NewReader(b))
 	if err != nil {
 		return Result{}, err
 	}
-	resp, err := c.http.Do(hr)
+	resp, err := c.http.Do(httpReq)
 	if err != nil {
 		return Result{}, fmt.Errorf("%w: %v", ErrService, err)
 	}
@@ -146,13 +147,13 @@
 	return res, nil
 }
 
-// Counts reads how often each idempotency key ran.
+// Counts returns how often each idempotency key has run at a stand-in.
 func (c *Client) Counts(ctx context.Context) (map[string]int, error) {
-	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/debug/counts", nil)
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/debug/counts", nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := c.http.Do(hr)
+	resp, err := c.http.Do(httpReq)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrService, err)
 	}
