--- a/desired.go
+++ b/desired.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// What may be repeated on a route.
+// Kinds of call.
 const (
-	// CallSafe calls may run more than once.
+	// CallSafe calls are idempotent: they may be retried.
 	CallSafe CallKind = iota + 1
-	// CallUnsafe calls run at most once.
+	// CallUnsafe calls are not idempotent: they run at most once.
 	CallUnsafe
-	// CallStream calls answer with a stream of numbered events. They are
-	// unsafe unless the route is resumable.
+	// CallStream calls are answered with a stream of numbered events. They are
+	// not idempotent unless the route is resumable.
 	CallStream
 )
 
-// ErrBadDesired is wrapped by errors about a desired state that cannot be
-// served.
+// ErrBadDesired is wrapped by the errors about an invalid desired state.
 var ErrBadDesired = errors.New("bad desired state")
 
 type (
-	// CallKind says what may be repeated on a route.
+	// CallKind is the kind of a route's calls. It decides whether they may be
+	// retried.
 	CallKind uint8
 
-	// Route sends the calls of one host and path prefix to a service. Make
-	// one with NewRoute.
-	Route struct{ p RouteParams }
+	// Route maps the calls of one host and path prefix to a service, or to
+	// several by weight. Make one with NewRoute.
+	Route struct{ params RouteParams }
 
 	// RouteParams are the fields of a Route.
 	RouteParams struct {
@@ -38,46 +38,46 @@
 		Host       string // lower case, without port
 		Prefix     string // begins and ends with a slash
 		Kind       CallKind
-		Timeout    time.Duration // longest time a caller is kept waiting
-		Target     time.Duration // time to the answer (streams: first event) that callers expect
-		GapTarget  time.Duration // streams: longest pause between events that callers expect
-		Stall      time.Duration // streams: silence after which a run counts as lost; 0: not said
+		Timeout    time.Duration // deadline of an answer, from the arrival of the call
+		Target     time.Duration // objective for the time to the answer (streams: to the first event)
+		GapTarget  time.Duration // streams: objective for the event interval
+		Stall      time.Duration // streams: time without an event after which an attempt counts as lost; 0: not set
 		Priority   int           // 0 is the most urgent
-		Shares     []Share       // services of the route; one entry unless it is split
-		MaxTargets int           // targets one call may be sent to
-		Public     bool          // no key needed
-		Sticky     bool          // calls share prompt prefixes
-		Resumable  bool          // a stream may go on at another target
+		Shares     []Share       // services of the route; several if its calls are split
+		MaxTargets int           // limit on the attempts of one call
+		Public     bool          // calls need no key
+		Sticky     bool          // calls share prompt prefixes: prefer the engine that caches them
+		Resumable  bool          // a stream may fail over to another target
 	}
 
-	// Share is a service's part of a route's calls.
+	// Share is a service's weight among the services of a route.
 	Share struct {
 		Service string
 		Weight  int
 	}
 
 	// Service is a group of interchangeable targets. Make one with NewService.
-	Service struct{ p ServiceParams }
+	Service struct{ params ServiceParams }
 
 	// ServiceParams are the fields of a Service.
 	ServiceParams struct {
 		Name       string
 		HealthPath string
-		MaxConns   int     // connections a target takes from all callers together
+		MaxConns   int     // limit on a target's connections from all instances together; 0: none declared
 		Engine     *Engine // nil for plain services
 	}
 
-	// Engine is what a model engine of a service can do.
+	// Engine describes the model engines of a service.
 	Engine struct {
-		Slots      int           // requests in one batch
-		KVTokens   int           // memory, in tokens
-		Moves      bool          // copies a run's memory to another engine on request
-		Backups    bool          // keeps a copy of a run's memory at another engine
-		Stride     int           // tokens in one event
-		CopyExpiry time.Duration // how long an unused copy is kept
+		Slots      int           // maximum number of requests in a batch
+		KVTokens   int           // KV cache capacity, in tokens
+		Moves      bool          // can migrate a stream's KV cache to another engine on request
+		Backups    bool          // can keep a replica of a stream's KV cache at another engine
+		Stride     int           // tokens per event
+		CopyExpiry time.Duration // time after which an unused replica is deleted
 	}
 
-	// Organisation is a customer whose callers hold keys. Make one with
+	// Organisation is a customer, with the keys of its callers. Make one with
 	// NewOrganisation.
 	Organisation struct {
 		name     string
@@ -85,7 +85,7 @@
 		priority int
 	}
 
-	// Limits bound what a caller may send.
+	// Limits are the limits on a caller's requests and connections.
 	Limits struct {
 		HeaderBytes int
 		BodyBytes   int64
@@ -93,8 +93,8 @@
 		IdleTime    time.Duration
 	}
 
-	// DesiredState is one version of what the operator declares: routes,
-	// services, organisations and limits. It is never changed once made.
+	// DesiredState is one version of the operator's configuration: routes,
+	// services, organisations and limits. It is immutable.
 	DesiredState struct {
 		version  int64
 		routes   []Route
@@ -113,7 +113,7 @@
 	}
 )
 
-// String is the kind's name in logs.
+// String returns the kind's name in logs.
 func (k CallKind) String() string {
 	switch k {
 	case CallSafe:
@@ -127,108 +127,109 @@
 }
 
 // NewRoute returns a route with the given fields.
-func NewRoute(p RouteParams) Route { return Route{p: p} }
+func NewRoute(p RouteParams) Route { return Route{params: p} }
 
-// Name is the operator's name for the route.
-func (r *Route) Name() string { return r.p.Name }
+// Name returns the route's name.
+func (r *Route) Name() string { return r.params.Name }
 
-// Host is the host of the route, lower case.
-func (r *Route) Host() string { return r.p.Host }
+// Host returns the host of the route, in lower case and without a port.
+func (r *Route) Host() string { return r.params.Host }
 
-// Prefix is the path prefix of the route.
-func (r *Route) Prefix() string { return r.p.Prefix }
+// Prefix returns the path prefix of the route, with a slash at both ends.
+func (r *Route) Prefix() string { return r.params.Prefix }
 
-// Kind says what may be repeated.
-func (r *Route) Kind() CallKind { return r.p.Kind }
+// Kind returns the kind of the route's calls.
+func (r *Route) Kind() CallKind { return r.params.Kind }
 
-// Timeout is the longest time a caller is kept waiting.
-func (r *Route) Timeout() time.Duration { return r.p.Timeout }
+// Timeout returns the deadline of an answer, from the arrival of the call.
+func (r *Route) Timeout() time.Duration { return r.params.Timeout }
 
-// Target is the time to an answer that callers expect.
-func (r *Route) Target() time.Duration { return r.p.Target }
+// Target returns the objective for the time to an answer; to the first event,
+// for streams.
+func (r *Route) Target() time.Duration { return r.params.Target }
 
-// GapTarget is the longest pause between events that callers expect.
-func (r *Route) GapTarget() time.Duration { return r.p.GapTarget }
+// GapTarget returns the objective for the event interval of a stream.
+func (r *Route) GapTarget() time.Duration { return r.params.GapTarget }
 
-// Stall is the silence after which a run of a stream counts as lost; 0 if
-// the operator does not say.
-func (r *Route) Stall() time.Duration { return r.p.Stall }
+// Stall returns the time without an event after which an attempt of a stream
+// counts as lost; 0 if it is not set.
+func (r *Route) Stall() time.Duration { return r.params.Stall }
 
-// Priority is the route's rank; 0 is the most urgent.
-func (r *Route) Priority() int { return r.p.Priority }
+// Priority returns the route's priority; 0 is the most urgent.
+func (r *Route) Priority() int { return r.params.Priority }
 
-// Shares are the services of the route; one, unless it is split.
-func (r *Route) Shares() []Share { return r.p.Shares }
+// Shares returns the services of the route with their weights.
+func (r *Route) Shares() []Share { return r.params.Shares }
 
-// Sticky reports whether the route's calls share parts of their prompts.
-func (r *Route) Sticky() bool { return r.p.Sticky }
+// Sticky reports whether the route's calls share prompt prefixes.
+func (r *Route) Sticky() bool { return r.params.Sticky }
 
-// MaxTargets is how many targets one call may be sent to.
-func (r *Route) MaxTargets() int { return max(1, r.p.MaxTargets) }
+// MaxTargets returns the limit on the attempts of one call; at least 1.
+func (r *Route) MaxTargets() int { return max(1, r.params.MaxTargets) }
 
 // Public reports whether calls need no key.
-func (r *Route) Public() bool { return r.p.Public }
+func (r *Route) Public() bool { return r.params.Public }
 
-// Idempotent reports whether a call of the route may run more than once:
-// safe calls and resumable streams.
+// Idempotent reports whether a call of the route may run more than once: a safe
+// call or a resumable stream.
 func (r *Route) Idempotent() bool {
-	return r.p.Kind == CallSafe || r.p.Kind == CallStream && r.p.Resumable
+	return r.params.Kind == CallSafe || r.params.Kind == CallStream && r.params.Resumable
 }
 
-// Resumable reports whether a stream of the route may go on at another
+// Resumable reports whether a stream of the route may fail over to another
 // target.
-func (r *Route) Resumable() bool { return r.p.Resumable }
+func (r *Route) Resumable() bool { return r.params.Resumable }
 
-// Service picks the service for a call; point, in [0, 1), decides between
-// the shares of a split route.
+// Service selects the service for a call by weight; point, in [0, 1), is the
+// call's position in the sum of the weights.
 func (r *Route) Service(point float64) string {
 	total := 0
-	for _, s := range r.p.Shares {
+	for _, s := range r.params.Shares {
 		total += s.Weight
 	}
-	at := point * float64(total)
-	for _, s := range r.p.Shares {
-		if at < float64(s.Weight) {
+	position := point * float64(total)
+	for _, s := range r.params.Shares {
+		if position < float64(s.Weight) {
 			return s.Service
 		}
-		at -= float64(s.Weight)
+		position -= float64(s.Weight)
 	}
-	return r.p.Shares[len(r.p.Shares)-1].Service
+	return r.params.Shares[len(r.params.Shares)-1].Service
 }
 
 // NewService returns a service with the given fields.
-func NewService(p ServiceParams) Service { return Service{p: p} }
+func NewService(p ServiceParams) Service { return Service{params: p} }
 
-// Name is the service's name.
-func (s Service) Name() string { return s.p.Name }
+// Name returns the service's name.
+func (s Service) Name() string { return s.params.Name }
 
-// HealthPath is where the service's targets answer whether they are healthy.
-func (s Service) HealthPath() string { return s.p.HealthPath }
+// HealthPath returns the path of the targets' health check.
+func (s Service) HealthPath() string { return s.params.HealthPath }
 
-// MaxConns is how many connections a target of the service takes from all
-// callers together; 0 if not declared.
-func (s Service) MaxConns() int { return s.p.MaxConns }
+// MaxConns returns the limit on a target's connections from all instances
+// together; 0 if none is declared.
+func (s Service) MaxConns() int { return s.params.MaxConns }
 
-// Engine is what the service's engines can do; nil for a plain service.
-func (s Service) Engine() *Engine { return s.p.Engine }
+// Engine describes the service's engines; nil for a plain service.
+func (s Service) Engine() *Engine { return s.params.Engine }
 
-// NewOrganisation returns an organisation; its priority goes before a
-// route's when hasPriority.
+// NewOrganisation returns an organisation. Its priority overrides a route's; -1
+// for none.
 func NewOrganisation(name string, keys []string, priority int) Organisation {
 	return Organisation{name: name, keys: keys, priority: priority}
 }
 
-// Name is the organisation's name.
+// Name returns the organisation's name.
 func (o Organisation) Name() string { return o.name }
 
-// Keys are the keys its callers may use.
+// Keys returns the keys of the organisation's callers.
 func (o Organisation) Keys() []string { return o.keys }
 
-// Priority is the organisation's rank, or -1 if it has none of its own.
+// Priority returns the organisation's priority, or -1 if it has none.
 func (o Organisation) Priority() int { return o.priority }
 
-// NewDesiredState checks p and returns it as a desired state. Errors wrap
-// ErrBadDesired and name the field.
+// NewDesiredState validates p and returns it as a desired state. Errors wrap
+// ErrBadDesired and name the invalid field.
 func NewDesiredState(p DesiredParams) (*DesiredState, error) {
 	d := &DesiredState{version: p.Version, routes: p.Routes, orgs: p.Orgs, limits: p.Limits,
 		services: make(map[string]Service, len(p.Services))}
@@ -254,10 +255,10 @@
 		return fmt.Errorf("%w: route %q: prefix %q must begin and end with a slash", ErrBadDesired, r.Name(), r.Prefix())
 	case r.Timeout() <= 0:
 		return fmt.Errorf("%w: route %q: timeout must be positive", ErrBadDesired, r.Name())
-	case len(r.p.Shares) == 0:
+	case len(r.params.Shares) == 0:
 		return fmt.Errorf("%w: route %q names no service", ErrBadDesired, r.Name())
 	}
-	for _, s := range r.p.Shares {
+	for _, s := range r.params.Shares {
 		if _, ok := d.services[s.Service]; !ok {
 			return fmt.Errorf("%w: route %q: service %q is not declared", ErrBadDesired, r.Name(), s.Service)
 		}
@@ -268,11 +269,10 @@
 	return nil
 }
 
-// Version is the operator's number of the state; later states have larger
-// ones.
+// Version returns the operator's version number, which grows with each state.
 func (d *DesiredState) Version() int64 { return d.version }
 
-// Routes are all routes. The caller must not change them.
+// Routes returns all routes. The caller must not modify them.
 func (d *DesiredState) Routes() []Route { return d.routes }
 
 // Service returns the named service.
@@ -281,15 +281,15 @@
 	return s, ok
 }
 
-// Services are the services by name.
+// Services returns all services, sorted by name.
 func (d *DesiredState) Services() []Service {
-	out := slices.Collect(maps.Values(d.services))
-	slices.SortFunc(out, func(a, b Service) int { return strings.Compare(a.Name(), b.Name()) })
-	return out
+	services := slices.Collect(maps.Values(d.services))
+	slices.SortFunc(services, func(a, b Service) int { return strings.Compare(a.Name(), b.Name()) })
+	return services
 }
 
-// Organisations are all organisations; none means that calls need no key.
+// Organisations returns all organisations. Without any, calls need no key.
 func (d *DesiredState) Organisations() []Organisation { return d.orgs }
 
-// Limits bound what callers may send.
+// Limits returns the limits on callers' requests and connections.
 func (d *DesiredState) Limits() Limits { return d.limits }
--- a/doc.go
+++ b/doc.go
@@ -1,9 +1,9 @@
-// Package ragworthitch holds the domain types of a serving system for long
-// model generations on engines that may die mid-stream: requests and their
-// attempts, targets, leases and the token chain that lets a checker prove an
-// answer whole.
+// Package ragworthitch defines the domain types of a proxy for long model
+// generations, which continue at another engine if theirs crashes mid-stream:
+// the desired state (routes, services, organisations), targets, requests, and
+// the token chain with which a checker proves that an answer is complete.
 //
-// The processes that use these types live in their own packages: entry (the
-// caller-facing instance), agent (the process beside each target), and the
-// stand-ins for the platform, the model engines and the plain services.
+// Other packages implement the processes: instance and entry (the process that
+// callers reach), agent (the process next to each target), and the stand-ins
+// for the platform, the model engines and the plain services.
 package ragworthitch
--- a/request.go
+++ b/request.go
@@ -9,16 +9,16 @@
 const (
 	// KindLong is a streamed generation on a model engine.
 	KindLong Kind = "long"
-	// KindShort is a repeatable call to a plain service (job status, card
+	// KindShort is an idempotent call to a plain service (job status, card
 	// balance).
 	KindShort Kind = "short"
-	// KindQuote is a call to a plain service that may not be repeated.
+	// KindQuote is a call to a plain service that must not run twice.
 	KindQuote Kind = "quote"
-	// KindCharge is a call to a plain service that may not be repeated.
+	// KindCharge is a payment at a plain service; it must not run twice.
 	KindCharge Kind = "charge"
 )
 
-// Limits on what a caller may ask for.
+// Limits on a request.
 const (
 	MaxPromptTokens = 32_768
 	MaxTokens       = 16_384
@@ -34,13 +34,11 @@
 )
 
 type (
-	// Kind says what sort of work a request is.
+	// Kind is the kind of work that a request asks for.
 	Kind string
 
-	// Request is one caller's ask, as the entry sees it.
-	//
-	// The zero value is not a valid request; build one with NewRequest or
-	// fill it through the setters and call Validate.
+	// Request is a caller's request to an entry instance. The zero value is
+	// invalid: make one with NewRequest and check it with Validate.
 	Request struct {
 		id             string
 		idempotencyKey string
@@ -67,7 +65,7 @@
 	return false
 }
 
-// RequestParams are the fields of a new Request.
+// RequestParams are the fields of a Request.
 type RequestParams struct {
 	ID             string
 	IdempotencyKey string
@@ -81,7 +79,7 @@
 	Seed           uint64
 }
 
-// NewRequest builds a Request from p; call Validate before use.
+// NewRequest returns a request with the given fields, not yet validated.
 func NewRequest(p RequestParams) Request {
 	return Request{
 		id: p.ID, idempotencyKey: p.IdempotencyKey, org: p.Org, model: p.Model,
@@ -90,38 +88,38 @@
 	}
 }
 
-// ID is the caller's request id.
+// ID returns the caller's request id.
 func (r Request) ID() string { return r.id }
 
-// IdempotencyKey is the caller's key for calls that may not repeat.
+// IdempotencyKey returns the caller's key for a call that must not run twice.
 func (r Request) IdempotencyKey() string { return r.idempotencyKey }
 
-// Org is the organisation the caller belongs to.
+// Org returns the name of the caller's organisation.
 func (r Request) Org() string { return r.org }
 
-// Model is the model name, for long requests.
+// Model returns the model name; for long requests.
 func (r Request) Model() string { return r.model }
 
-// Kind is the kind of work.
+// Kind returns the kind of work.
 func (r Request) Kind() Kind { return r.kind }
 
-// Op is the plain service operation (status, balance, quote, charge).
+// Op returns the operation of a plain service (status, balance, quote, charge).
 func (r Request) Op() string { return r.op }
 
-// PromptTokens is the prompt length in tokens.
+// PromptTokens returns the prompt length in tokens.
 func (r Request) PromptTokens() int { return r.promptTokens }
 
-// MaxTokens is the number of tokens to generate.
+// MaxTokens returns the number of tokens to generate.
 func (r Request) MaxTokens() int { return r.maxTokens }
 
-// Priority is higher for more urgent work; 0 is the default.
+// Priority returns the request's priority: higher is more urgent, 0 is the
+// default.
 func (r Request) Priority() int { return r.priority }
 
-// Seed picks the first token of the generation; the stand-in engine uses it
-// the way a real engine uses a sampling seed.
+// Seed returns the sampling seed.
 func (r Request) Seed() uint64 { return r.seed }
 
-// Validate checks r against the limits and against the known models and
+// Validate checks r against the limits and the known models and
 // organisations. The error wraps ErrBadRequest, ErrUnknownModel,
 // ErrUnknownOrg or ErrPromptTooLarge.
 func (r Request) Validate(knownOrg func(string) bool, knownModel func(string) bool) error {
--- a/target.go
+++ b/target.go
@@ -3,13 +3,13 @@
 import "time"
 
 type (
-	// Target is one boot of a model engine or of a plain service's process,
-	// as it registered itself. Make one with NewTarget.
-	Target struct{ p TargetParams }
+	// Target is one boot of a model engine or of a plain service's process, as
+	// registered in the store. Make one with NewTarget.
+	Target struct{ params TargetParams }
 
-	// Boot names one start of a target. A target may start again under the
-	// id that it had, and then holds and knows nothing of before. Boots are
-	// compared with ==; make one with NewBoot.
+	// Boot identifies the life of one process of a target. A target may restart
+	// under the same id; its new boot has lost all state of the earlier one.
+	// Boots are comparable with ==. Make one with NewBoot.
 	Boot struct {
 		id      string
 		started int64
@@ -17,67 +17,67 @@
 
 	// TargetParams are the fields of a Target.
 	TargetParams struct {
-		ID       string // of the boot, together with Started
-		Started  int64  // Unix ms of the boot's start; 0: not told
+		ID       string // identifies the boot together with Started
+		Started  int64  // start of the boot, Unix ms; 0: unknown
 		Service  string
-		Others   []string // further services that it belongs to
+		Others   []string // further services of the target
 		Address  string   // ip:port
 		Zone     string
-		Version  string // of its software; empty: not told
+		Version  string // of the target's software; empty: unknown
 		Slots    int
 		Draining bool
-		ColdFor  time.Duration // how much longer it stays slow after its start
-		Sequence int64         // counts the boot's own writes of its entry
+		ColdFor  time.Duration // remaining time of the slow phase after a start
+		Sequence int64         // number of the boot's write of its store entry
 	}
 )
 
 // NewTarget returns a target with the given fields.
-func NewTarget(p TargetParams) Target { return Target{p: p} }
+func NewTarget(p TargetParams) Target { return Target{params: p} }
 
-// NewBoot names the boot of a target that started at a time, in Unix ms; 0 if
-// that is not known.
+// NewBoot returns the boot of a target that started at the given time, in Unix
+// ms; 0 if the time is unknown.
 func NewBoot(id string, started int64) Boot { return Boot{id: id, started: started} }
 
-// ID is the target's id, which later boots may have too.
+// ID returns the target's id, which later boots may share.
 func (b Boot) ID() string { return b.id }
 
-// Started is the Unix ms of the boot's start by the target's own clock; 0 if
-// the target does not tell it, and then its id differs for every boot.
+// Started returns the start of the boot by the target's clock, in Unix ms. It is
+// 0 if the target does not report it; such a target has a new id for every boot.
 func (b Boot) Started() int64 { return b.started }
 
-// ID is the target's id. It alone does not name a boot: see Boot.
-func (t Target) ID() string { return t.p.ID }
+// ID returns the target's id, which does not identify a boot by itself: see
+// Boot.
+func (t Target) ID() string { return t.params.ID }
 
-// Boot names this start of the target.
-func (t Target) Boot() Boot { return NewBoot(t.p.ID, t.p.Started) }
+// Boot returns the target's boot.
+func (t Target) Boot() Boot { return NewBoot(t.params.ID, t.params.Started) }
 
-// Service is the service the target belongs to; the first of them, if there
-// are several.
-func (t Target) Service() string { return t.p.Service }
+// Service returns the target's service; the first of several.
+func (t Target) Service() string { return t.params.Service }
 
-// Services are all services the target belongs to.
-func (t Target) Services() []string { return append([]string{t.p.Service}, t.p.Others...) }
+// Services returns all services of the target.
+func (t Target) Services() []string { return append([]string{t.params.Service}, t.params.Others...) }
 
-// Address is the target's ip:port. It may be given to a target of another
-// service once this one has ended.
-func (t Target) Address() string { return t.p.Address }
+// Address returns the target's ip:port. A target of another service may reuse it
+// once this one has ended.
+func (t Target) Address() string { return t.params.Address }
 
-// Zone is the target's availability zone.
-func (t Target) Zone() string { return t.p.Zone }
+// Zone returns the target's availability zone.
+func (t Target) Zone() string { return t.params.Zone }
 
-// Version is that of the target's software; empty if it is not told.
-func (t Target) Version() string { return t.p.Version }
+// Version returns the version of the target's software; empty if unknown.
+func (t Target) Version() string { return t.params.Version }
 
-// Slots is how many requests the target works on at once.
-func (t Target) Slots() int { return t.p.Slots }
+// Slots returns the number of requests that the target processes at once.
+func (t Target) Slots() int { return t.params.Slots }
 
-// Draining reports whether the target takes no new work.
-func (t Target) Draining() bool { return t.p.Draining }
+// Draining reports whether the target accepts no new work.
+func (t Target) Draining() bool { return t.params.Draining }
 
-// ColdFor is how much longer the target stayed slow after its start, when it
-// wrote its entry.
-func (t Target) ColdFor() time.Duration { return t.p.ColdFor }
+// ColdFor returns the remaining time of the slow phase after a start, as of the
+// target's last write of its store entry.
+func (t Target) ColdFor() time.Duration { return t.params.ColdFor }
 
-// Sequence counts the writes of its entry by this boot of the target: one with a
-// lower figure was written before, whenever it arrived.
-func (t Target) Sequence() int64 { return t.p.Sequence }
+// Sequence returns the number of the boot's write of its store entry. It orders
+// the writes, which may arrive out of order.
+func (t Target) Sequence() int64 { return t.params.Sequence }
--- a/token.go
+++ b/token.go
@@ -6,10 +6,8 @@
 	"strconv"
 )
 
-// Token is one generated token of an answer.
-//
-// Offset counts from 0 within the answer; Attempt is the fencing number of
-// the generation that produced it, so tokens of two attempts are never mixed.
+// Token is one generated token of an answer, with the fencing number of the
+// attempt that generated it, so that tokens of two attempts are never mixed.
 type Token struct {
 	offset  int
 	attempt int
@@ -21,22 +19,21 @@
 	return Token{offset: offset, attempt: attempt, text: text}
 }
 
-// Offset is the token's position in the answer.
+// Offset returns the token's position in the answer, from 0.
 func (t Token) Offset() int { return t.offset }
 
-// Attempt is the attempt number that generated the token.
+// Attempt returns the number of the attempt that generated the token.
 func (t Token) Attempt() int { return t.attempt }
 
-// Text is the token itself.
+// Text returns the token's text.
 func (t Token) Text() string { return t.text }
 
-// FirstToken is the stand-in engine's first token for a prompt and seed.
+// FirstToken returns the stand-in engine's first token for a prompt and seed.
 //
-// The stand-in generates a chain: each token is a hash of the one before it
-// and its offset, as a greedy decoder's next token depends on what came
-// before. A checker can then prove an answer whole: a missing, repeated or
-// foreign token breaks the chain. Two fresh generations of one request differ
-// from the first token on when their seeds differ.
+// Each further token is a hash of its predecessor and its offset. A checker can
+// therefore prove that an answer is complete: a missing, repeated or foreign
+// token breaks the chain. Generations with different seeds differ from the first
+// token on.
 func FirstToken(model, prompt string, seed uint64) string {
 	h := fnv.New64a()
 	h.Write([]byte(model))
@@ -48,7 +45,7 @@
 	return "t" + strconv.FormatUint(h.Sum64()&0xffffff, 16)
 }
 
-// NextToken is the token that follows prev at offset.
+// NextToken returns the token that follows prev, at the given offset.
 func NextToken(prev string, offset int) string {
 	h := fnv.New64a()
 	h.Write([]byte(prev))
