--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,11 +1,11 @@
-// Command experiment compares ways to serve a load, without network: it plays
-// each load of a file once for every variant named and prints a table; with
-// -plot it draws the share of streams on time over the load's seconds. With
-// -goodput it draws what 'ragworthitch soak -goodput' has written.
+// Command experiment compares variants of the routing policy under emulated loads,
+// without a network. It runs each load of a file with each of the given variants
+// and prints a table; with -plot it also draws the share of streams on time by
+// second. With -goodput it draws the file that 'ragworthitch soak -goodput'
+// wrote.
 //
-// It is a program of its own, as its plotting library would make the one that
-// serves larger. A load takes as long as its file says; its variants are
-// played at the same time.
+// Command experiment is separate from ragworthitch because of the size of its
+// plotting library. Loads run in real time, the variants of a load concurrently.
 package main
 
 import (
@@ -32,34 +32,34 @@
 }
 
 func run(ctx context.Context, args []string, out io.Writer) error {
-	f := flag.NewFlagSet("experiment", flag.ContinueOnError)
-	file := f.String("loads", "experiment/testdata/loads.yaml", "YAML list of loads")
-	names := f.String("variants", "product,leastLoaded", "variants to compare: "+strings.Join(variantNames(), ", "))
-	draws := f.Int("draws", 3, "how often each load is drawn, with other seeds")
-	only := f.String("only", "", "play only loads whose name contains this")
-	plots := f.String("plot", "", "folder for one SVG for each load")
-	goodput := f.String("goodput", "", "draw a soak's file of served calls to SVG of the same name, and play nothing")
-	if err := f.Parse(args); err != nil {
+	flags := flag.NewFlagSet("experiment", flag.ContinueOnError)
+	loadsFile := flags.String("loads", "experiment/testdata/loads.yaml", "YAML file with the loads")
+	variantList := flags.String("variants", "product,leastLoaded", "variants to compare: "+strings.Join(variantNames(), ", "))
+	draws := flags.Int("draws", 3, "runs of each load, each with its own seed")
+	loadFilter := flags.String("only", "", "run only loads whose name contains this text")
+	plotDir := flags.String("plot", "", "directory for an SVG file of each load")
+	goodputFile := flags.String("goodput", "", "draw this file of a soak test to an SVG file of the same name, and run no load")
+	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	if *goodput != "" {
-		return plotGoodput(*goodput)
+	if *goodputFile != "" {
+		return plotGoodput(*goodputFile)
 	}
-	loads, err := experiment.ReadLoads(*file)
+	loads, err := experiment.ReadLoads(*loadsFile)
 	if err != nil {
 		return err
 	}
 	var variants []experiment.Variant
-	for _, n := range strings.Split(*names, ",") {
+	for _, n := range strings.Split(*variantList, ",") {
 		v, err := experiment.VariantByName(n)
 		if err != nil {
 			return err
 		}
 		variants = append(variants, v)
 	}
-	fmt.Fprintln(out, tableHead)
+	fmt.Fprintln(out, tableHeader)
 	for _, l := range loads {
-		if !strings.Contains(l.Name, *only) {
+		if !strings.Contains(l.Name, *loadFilter) {
 			continue
 		}
 		results, err := experiment.Compare(ctx, l, variants, max(*draws, 1))
@@ -69,10 +69,10 @@
 		for _, r := range results {
 			fmt.Fprintln(out, tableRow(l.Name, r))
 		}
-		if *plots == "" {
+		if *plotDir == "" {
 			continue
 		}
-		if err := plotShares(filepath.Join(*plots, fileName(l.Name)), l.Name, results); err != nil {
+		if err := plotShares(filepath.Join(*plotDir, plotFileName(l.Name)), l.Name, results); err != nil {
 			return err
 		}
 	}
@@ -87,13 +87,13 @@
 	return names
 }
 
-// fileName is a load's name as that of a file.
-func fileName(load string) string {
+// plotFileName returns the name of the SVG file for a load.
+func plotFileName(load string) string {
 	words := strings.FieldsFunc(strings.ToLower(load), func(r rune) bool { return (r < 'a' || r > 'z') && (r < '0' || r > '9') })
 	return strings.Join(words, "-") + ".svg"
 }
 
-const tableHead = `| load | variant | streams | on time | worst 3 s | late | failed | first event p50, p99 ms | pause p99 ms | tokens read again | preempted |
+const tableHeader = `| load | variant | streams | on time | worst 3 s | late | failed | first event p50, p99 ms | pause p99 ms | tokens read again | preempted |
 |---|---|---|---|---|---|---|---|---|---|---|`
 
 func tableRow(load string, r experiment.Result) string {
--- a/cmd/experiment/plot.go
+++ b/cmd/experiment/plot.go
@@ -15,25 +15,25 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// plotShares draws the share of streams on time, by the second in which they
-// began, one line for each variant.
+// plotShares draws the share of streams on time by the second of their start, one
+// line per variant.
 func plotShares(file, title string, results []experiment.Result) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "begun in second"
 	p.Y.Label.Text = "share on time"
 	p.Y.Min, p.Y.Max = 0, 1.05
-	var lines []any
+	var series []any
 	for _, r := range results {
 		var xy plotter.XYs
 		for s, share := range r.Second {
-			if share >= 0 { // a second in which streams began
+			if share >= 0 { // -1: no stream began in this second
 				xy = append(xy, plotter.XY{X: float64(s), Y: share})
 			}
 		}
-		lines = append(lines, r.Variant, xy)
+		series = append(series, r.Variant, xy)
 	}
-	if err := plotutil.AddLinePoints(p, lines...); err != nil {
+	if err := plotutil.AddLinePoints(p, series...); err != nil {
 		return err
 	}
 	p.Legend.Top = false
--- a/cmd/ragworthitch/agent.go
+++ b/cmd/ragworthitch/agent.go
@@ -9,17 +9,17 @@
 	"github.com/ragworthitch/ragworthitch/agent"
 )
 
-type agentCmd struct{ part }
+type agentCmd struct{ processFlags }
 
 func (*agentCmd) Name() string     { return "agent" }
-func (*agentCmd) Synopsis() string { return "run the agent beside a target" }
+func (*agentCmd) Synopsis() string { return "run the agent of a target" }
 func (*agentCmd) Usage() string {
-	return "agent -settings FILE -name TARGET\n\tHold the target's lease and relay its work to entries.\n"
+	return "agent -settings FILE -name TARGET\n\tRenew the target's lease and relay its streams to the entry instances.\n"
 }
-func (c *agentCmd) SetFlags(f *flag.FlagSet) { c.flags(f) }
+func (c *agentCmd) SetFlags(f *flag.FlagSet) { c.register(f) }
 
 func (c *agentCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	cfg, t, log, err := c.target("", "agent-")
+	cfg, t, log, err := c.loadTarget("", "agent-")
 	if err != nil {
 		return fail(err)
 	}
--- a/cmd/ragworthitch/common.go
+++ b/cmd/ragworthitch/common.go
@@ -18,25 +18,25 @@
 	"github.com/ragworthitch/ragworthitch/settings"
 )
 
-// part holds the flags every long-running part shares.
-type part struct {
-	settings string
-	name     string
+// processFlags are the flags that the long-running subcommands share.
+type processFlags struct {
+	settingsPath string
+	name         string
 }
 
-func (p *part) flags(f *flag.FlagSet) {
-	f.StringVar(&p.settings, "settings", "default:rimac", "settings file, or default:NAME for an embedded deployment")
+func (p *processFlags) register(f *flag.FlagSet) {
+	f.StringVar(&p.settingsPath, "settings", "default:rimac", "settings file, or default:NAME for an embedded deployment")
 	f.StringVar(&p.name, "name", "", "this process's name in the settings")
 }
 
-func (p *part) load() (*settings.File, error) {
-	return settings.Load(p.settings)
+func (p *processFlags) loadSettings() (*settings.File, error) {
+	return settings.Load(p.settingsPath)
 }
 
-// target loads the settings and finds this process's target, which must be
-// of kind (any kind when empty), with its logger.
-func (p *part) target(kind, prefix string) (*settings.File, settings.Target, zerolog.Logger, error) {
-	cfg, err := p.load()
+// loadTarget returns the settings, this process's target and a logger. The target
+// has to be of the given kind; an empty kind accepts any.
+func (p *processFlags) loadTarget(kind, namePrefix string) (*settings.File, settings.Target, zerolog.Logger, error) {
+	cfg, err := p.loadSettings()
 	if err != nil {
 		return nil, settings.Target{}, zerolog.Logger{}, err
 	}
@@ -47,28 +47,28 @@
 	if kind != "" && t.Kind != kind {
 		return nil, settings.Target{}, zerolog.Logger{}, fmt.Errorf("target %s is a %s, not a %s", t.Name, t.Kind, kind)
 	}
-	return cfg, t, logger(cfg, prefix+t.Name, t.Zone), nil
+	return cfg, t, newLogger(cfg, namePrefix+t.Name, t.Zone), nil
 }
 
-func logger(cfg *settings.File, name, zone string) zerolog.Logger {
+func newLogger(cfg *settings.File, name, zone string) zerolog.Logger {
 	return logs.New(os.Stderr, name, zone, cfg.Log.Level)
 }
 
-// fail prints an error and returns the failure status.
+// fail prints err and returns the exit status of a failure.
 func fail(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, "ragworthitch:", err)
 	return subcommands.ExitFailure
 }
 
-// serve runs h on addr until ctx ends, next to the other funcs of a run
-// group that stops together. Once it listens it logs that the part named by
-// prefix has started.
-func serve(ctx context.Context, log zerolog.Logger, prefix, addr string, h http.Handler, also ...func(context.Context) error) error {
+// serveHTTP serves h on addr and runs tasks until ctx ends or one of them fails,
+// which stops the others. Once the listener is open, serveHTTP logs that the
+// process with the given role has started.
+func serveHTTP(ctx context.Context, log zerolog.Logger, role, addr string, h http.Handler, tasks ...func(context.Context) error) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	log.Info().Str("listen", addr).Msg(prefix + ": started")
+	log.Info().Str("listen", addr).Msg(role + ": started")
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	p := pool.New().WithContext(ctx).WithCancelOnError()
 	p.Go(func(ctx context.Context) error {
@@ -79,12 +79,12 @@
 	})
 	p.Go(func(ctx context.Context) error {
 		<-ctx.Done()
-		sctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		srv.Shutdown(sctx)
+		srv.Shutdown(shutdownCtx)
 		return nil
 	})
-	for _, f := range also {
+	for _, f := range tasks {
 		p.Go(f)
 	}
 	err = p.Wait()
--- a/cmd/ragworthitch/desired.go
+++ b/cmd/ragworthitch/desired.go
@@ -14,15 +14,15 @@
 type desiredCmd struct{}
 
 func (*desiredCmd) Name() string     { return "desired" }
-func (*desiredCmd) Synopsis() string { return "check desired states kept in version control" }
+func (*desiredCmd) Synopsis() string { return "validate files with desired states" }
 func (*desiredCmd) Usage() string {
-	return "desired FILE...\n\tCheck each file as an instance would before it takes the state over; print what it holds.\n"
+	return "desired FILE...\n\tValidate each file like an instance that applies it, and print a summary.\n"
 }
 func (*desiredCmd) SetFlags(*flag.FlagSet) {}
 
 func (*desiredCmd) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		return fail(fmt.Errorf("desired: name at least one file"))
+		return fail(fmt.Errorf("desired: no file given"))
 	}
 	status := subcommands.ExitSuccess
 	for _, path := range f.Args() {
--- a/cmd/ragworthitch/engine.go
+++ b/cmd/ragworthitch/engine.go
@@ -10,29 +10,29 @@
 	"github.com/ragworthitch/ragworthitch/settings"
 )
 
-type engineCmd struct{ part }
+type engineCmd struct{ processFlags }
 
 func (*engineCmd) Name() string     { return "engine" }
 func (*engineCmd) Synopsis() string { return "run a stand-in model engine" }
 func (*engineCmd) Usage() string {
-	return "engine -settings FILE -name TARGET\n\tServe a stand-in model engine at the target's address.\n"
+	return "engine -settings FILE -name TARGET\n\tServe the stand-in for a model engine at the target's address.\n"
 }
-func (c *engineCmd) SetFlags(f *flag.FlagSet) { c.flags(f) }
+func (c *engineCmd) SetFlags(f *flag.FlagSet) { c.register(f) }
 
 func (c *engineCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	cfg, t, log, err := c.target(settings.KindEngine, "")
+	cfg, t, log, err := c.loadTarget(settings.KindEngine, "")
 	if err != nil {
 		return fail(err)
 	}
-	s := engine.NewStandIn(engine.StandInConfig{
+	standIn := engine.NewStandIn(engine.StandInConfig{
 		Name: t.Name, Models: t.Models, Step: settings.Ms(cfg.Engine.StepMs), Batch: cfg.Engine.Batch,
 		CacheBlocks: cfg.Engine.CacheBlocks, LoadLag: settings.Ms(cfg.Engine.LoadLagMs),
 		RefuseFencing: t.Fencing == settings.FencingRefuse,
 	}, log)
 	stop := make(chan struct{})
-	go s.Run(stop)
+	go standIn.Run(stop)
 	defer close(stop)
-	if err := serve(ctx, log, "engine", t.Listen, s.Handler()); err != nil {
+	if err := serveHTTP(ctx, log, "engine", t.Listen, standIn.Handler()); err != nil {
 		return fail(err)
 	}
 	log.Info().Msg("engine: stopped")
--- a/cmd/ragworthitch/entry.go
+++ b/cmd/ragworthitch/entry.go
@@ -11,17 +11,17 @@
 	"github.com/ragworthitch/ragworthitch/metrics"
 )
 
-type entryCmd struct{ part }
+type entryCmd struct{ processFlags }
 
 func (*entryCmd) Name() string     { return "entry" }
 func (*entryCmd) Synopsis() string { return "run an entry instance" }
 func (*entryCmd) Usage() string {
-	return "entry -settings FILE -name ENTRY\n\tServe the caller API at the entry's address.\n"
+	return "entry -settings FILE -name ENTRY\n\tServe the callers' API at the entry instance's address.\n"
 }
-func (c *entryCmd) SetFlags(f *flag.FlagSet) { c.flags(f) }
+func (c *entryCmd) SetFlags(f *flag.FlagSet) { c.register(f) }
 
 func (c *entryCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	cfg, err := c.load()
+	cfg, err := c.loadSettings()
 	if err != nil {
 		return fail(err)
 	}
@@ -29,14 +29,14 @@
 	if err != nil {
 		return fail(err)
 	}
-	log := logger(cfg, self.Name, self.Zone)
-	scope, rep, closeScope := metrics.New(self.Name)
+	log := newLogger(cfg, self.Name, self.Zone)
+	scope, reporter, closeScope := metrics.New(self.Name)
 	defer closeScope()
 	e, err := entry.New(cfg, self.Name, log, scope)
 	if err != nil {
 		return fail(err)
 	}
-	if err := serve(ctx, log, "entry", self.Listen, handlers.New(e, rep), e.Run); err != nil {
+	if err := serveHTTP(ctx, log, "entry", self.Listen, handlers.New(e, reporter), e.Run); err != nil {
 		return fail(err)
 	}
 	log.Info().Msg("entry: stopped")
--- a/cmd/ragworthitch/load.go
+++ b/cmd/ragworthitch/load.go
@@ -15,50 +15,52 @@
 )
 
 type loadCmd struct {
-	part
-	trace   string
-	entries string
-	json    bool
-	verbose bool
-	timeout time.Duration
-	faults  string
+	processFlags
+	trace      string
+	entries    string
+	json       bool
+	verbose    bool
+	timeout    time.Duration
+	faultKinds string
 }
 
-func (*loadCmd) Name() string     { return "load" }
-func (*loadCmd) Synopsis() string { return "replay a trace against the entries and check every answer" }
+func (*loadCmd) Name() string { return "load" }
+func (*loadCmd) Synopsis() string {
+	return "replay a trace against the entry instances and check every answer"
+}
 func (*loadCmd) Usage() string {
-	return "load -settings FILE -trace FILE [-json]\n\tReplay the trace; exit 1 when a stated outcome is broken.\n"
+	return "load -settings FILE -trace FILE [-json]\n\tReplay the trace; exit with 1 if an answer violates a guarantee.\n"
 }
 func (c *loadCmd) SetFlags(f *flag.FlagSet) {
-	c.flags(f)
+	c.register(f)
 	f.StringVar(&c.trace, "trace", "", "trace file (JSON Lines)")
-	f.StringVar(&c.entries, "entries", "", "comma-separated entry addresses (default: all in the settings)")
-	f.BoolVar(&c.json, "json", false, "print the summary as one JSON object on the last line")
-	f.BoolVar(&c.verbose, "v", false, "print the verdict on every request")
-	f.DurationVar(&c.timeout, "timeout", 2*time.Minute, "the replay ends by then")
-	f.StringVar(&c.faults, "faults", "all", "fault kinds of the trace to replay: all, none, or a comma-separated list")
+	f.StringVar(&c.entries, "entries", "", "comma-separated addresses of entry instances (default: all in the settings)")
+	f.BoolVar(&c.json, "json", false, "print the summary as a JSON object on the last line")
+	f.BoolVar(&c.verbose, "v", false, "print the result of every request")
+	f.DurationVar(&c.timeout, "timeout", 2*time.Minute, "time limit of the replay")
+	f.StringVar(&c.faultKinds, "faults", "all", "fault kinds of the trace to replay: all, none, or a comma-separated list")
 }
 
 func (c *loadCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	cfg, err := c.load()
+	cfg, err := c.loadSettings()
 	if err != nil {
 		return fail(err)
 	}
 	if c.trace == "" {
-		return fail(fmt.Errorf("load: -trace is needed"))
+		return fail(fmt.Errorf("load: flag -trace is missing"))
 	}
 	events, err := load.ReadTrace(c.trace)
 	if err != nil {
 		return fail(err)
 	}
-	if c.faults != "all" {
-		events = load.Only(events, strings.Split(c.faults, ","))
+	if c.faultKinds != "all" {
+		events = load.Only(events, strings.Split(c.faultKinds, ","))
 	}
 	var entries []string
 	if c.entries != "" {
 		entries = strings.Split(c.entries, ",")
 	}
-	s, results, err := load.Run(ctx, cfg, events, load.Options{Entries: entries, Timeout: c.timeout})
+	summary, results, err := load.Run(ctx, cfg, events, load.Options{Entries: entries, Timeout: c.timeout})
 	if err != nil {
 		return fail(err)
 	}
@@ -68,13 +70,13 @@
 		}
 	}
 	fmt.Printf("load: %d answers, %d complete, %d not run, %d failed; missing %d, repeated %d, mixed %d; %d resumes p50 %.1f ms p99 %.1f ms; short p99 %.1f ms; extra tokens %d, recomputed %d; double charges %d\n",
-		s.Answers, s.Complete, s.NotRun, s.Failed, s.Missing, s.Repeated, s.Mixed, s.Resumes, s.ResumeP50Ms, s.ResumeP99Ms, s.ShortP99Ms, s.ExtraTokens, s.Recomputed, s.DoubleCharges)
+		summary.Answers, summary.Complete, summary.NotRun, summary.Failed, summary.Missing, summary.Repeated, summary.Mixed, summary.Resumes, summary.ResumeP50Ms, summary.ResumeP99Ms, summary.ShortP99Ms, summary.ExtraTokens, summary.Recomputed, summary.DoubleCharges)
 	if c.json {
-		b, _ := json.Marshal(s)
+		b, _ := json.Marshal(summary)
 		fmt.Println(string(b))
 	}
-	if !s.OK {
-		fmt.Fprintln(os.Stderr, "load: broken:", strings.Join(s.Broken, "; "))
+	if !summary.OK {
+		fmt.Fprintln(os.Stderr, "load: broken:", strings.Join(summary.Broken, "; "))
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/cmd/ragworthitch/script_test.go
+++ b/cmd/ragworthitch/script_test.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	scriptPorts = 10 // $P0 to $P9
+	portsPerScript = 10 // $P0 to $P9
 
-	partEndTimeout = 10 * time.Second // drains in the scripts take up to 2 s
+	exitTimeout = 10 * time.Second // longer than the drains in the scripts
 )
 
 type (
-	// backgrounds are the parts of one scenario, by label.
-	backgrounds map[string]*process.Process
+	// startedProcesses are the processes that a script has started, by label.
+	startedProcesses map[string]*process.Process
 
-	backgroundsKey struct{}
+	startedProcessesKey struct{}
 )
 
 func TestMain(m *testing.M) {
@@ -36,23 +36,23 @@
 	})
 }
 
-// TestScripts runs the scenarios in testdata/script. Each script gets free
-// loopback ports in $P0 to $P9 for its settings file.
+// TestScripts runs the scripts in testdata/script, each with free loopback ports
+// in $P0 to $P9.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
 			"sleep":  sleep,
 			"start":  start,
-			"signal": signalPart,
+			"signal": signalProcess,
 			"ended":  ended,
 			"occupy": occupy,
 			"expand": expand,
 			"fetch":  fetch,
 		},
 		Setup: func(env *testscript.Env) error {
-			env.Values[backgroundsKey{}] = backgrounds{}
-			for i := range scriptPorts {
+			env.Values[startedProcessesKey{}] = startedProcesses{}
+			for i := range portsPerScript {
 				p, err := loopback.FreePort()
 				if err != nil {
 					return err
@@ -64,13 +64,12 @@
 	})
 }
 
-// start runs a part as its own process and waits until it says that it has
-// started; a part that ends before fails the script at once with its log:
+// start starts a process and waits until its log says that it has started. A
+// process that exits before fails the script with its log:
 //
 //	start LABEL SUBCOMMAND ARGS...
 //
-// With ! in front the part has to end by itself instead. The log goes to
-// LABEL.log.
+// With ! the process has to exit instead. The log is written to LABEL.log.
 func start(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: start LABEL SUBCOMMAND ARGS...")
@@ -79,7 +78,7 @@
 	bin, err := exec.LookPath("ragworthitch")
 	ts.Check(err)
 	env := []string{platform.BootEnv + "=" + ts.Getenv(platform.BootEnv)}
-	for i := range scriptPorts {
+	for i := range portsPerScript {
 		name := fmt.Sprintf("P%d", i)
 		env = append(env, name+"="+ts.Getenv(name))
 	}
@@ -88,34 +87,35 @@
 		ts.Fatalf("%s: %v", label, err)
 	}
 	ts.Defer(func() { ts.Check(p.Kill()) })
-	parts(ts)[label] = p
+	processesOf(ts)[label] = p
 	if (err == nil) == neg {
-		ts.Fatalf("%s: started=%v (%v); its log:\n%s", label, err == nil, err, ts.ReadFile(p.Log()))
+		ts.Fatalf("%s: started=%v (%v); log:\n%s", label, err == nil, err, ts.ReadFile(p.Log()))
 	}
 }
 
-// signalPart sends a signal to a part: signal INT LABEL.
-func signalPart(ts *testscript.TestScript, neg bool, args []string) {
+// signalProcess sends a signal to a process: signal INT LABEL.
+func signalProcess(ts *testscript.TestScript, neg bool, args []string) {
 	signals := map[string]syscall.Signal{"INT": syscall.SIGINT, "TERM": syscall.SIGTERM, "KILL": syscall.SIGKILL, "HUP": syscall.SIGHUP}
 	if neg || len(args) != 2 || signals[args[0]] == 0 {
 		ts.Fatalf("usage: signal INT|TERM|KILL|HUP LABEL")
 	}
-	ts.Check(findPart(ts, args[1]).Signal(signals[args[0]]))
+	ts.Check(findProcess(ts, args[1]).Signal(signals[args[0]]))
 }
 
-// ended waits for a part to end with status 0, or another with !.
+// ended waits until a process exits with status 0; with !, with another status.
 func ended(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) != 1 {
 		ts.Fatalf("usage: ended LABEL")
 	}
-	p := findPart(ts, args[0])
-	ts.Check(p.Await(partEndTimeout))
+	p := findProcess(ts, args[0])
+	ts.Check(p.Await(exitTimeout))
 	if (p.Err() != nil) != neg {
-		ts.Fatalf("%s ended: %v; its log:\n%s", args[0], p.Err(), ts.ReadFile(p.Log()))
+		ts.Fatalf("%s exited: %v; log:\n%s", args[0], p.Err(), ts.ReadFile(p.Log()))
 	}
 }
 
-// fetch makes a GET request and checks its status: fetch URL STATUS.
+// fetch sends a GET request and checks the status of the response: fetch URL
+// STATUS.
 func fetch(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: fetch URL STATUS")
@@ -124,11 +124,11 @@
 	ts.Check(err)
 	resp.Body.Close()
 	if fmt.Sprint(resp.StatusCode) != args[1] {
-		ts.Fatalf("%s: %s", args[0], resp.Status)
+		ts.Fatalf("GET %s: status %s", args[0], resp.Status)
 	}
 }
 
-// expand replaces the script's variables in a file: expand FILE.
+// expand replaces the variables in a file by their values: expand FILE.
 func expand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: expand FILE")
@@ -137,7 +137,7 @@
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), []byte(text), 0o644))
 }
 
-// occupy holds a port until the script ends: occupy PORT.
+// occupy listens on a port until the script ends: occupy PORT.
 func occupy(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: occupy PORT")
@@ -147,20 +147,19 @@
 	ts.Defer(func() { ln.Close() })
 }
 
-func parts(ts *testscript.TestScript) backgrounds {
-	return ts.Value(backgroundsKey{}).(backgrounds)
+func processesOf(ts *testscript.TestScript) startedProcesses {
+	return ts.Value(startedProcessesKey{}).(startedProcesses)
 }
 
-func findPart(ts *testscript.TestScript, label string) *process.Process {
-	p := parts(ts)[label]
+func findProcess(ts *testscript.TestScript, label string) *process.Process {
+	p := processesOf(ts)[label]
 	if p == nil {
-		ts.Fatalf("no part %q was started", label)
+		ts.Fatalf("no process %q was started", label)
 	}
 	return p
 }
 
-// sleep waits for a duration, so a script can act while a background
-// command runs: sleep 500ms.
+// sleep pauses the script while background processes run: sleep 500ms.
 func sleep(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: sleep DURATION")
--- a/cmd/ragworthitch/settings.go
+++ b/cmd/ragworthitch/settings.go
@@ -12,32 +12,32 @@
 )
 
 type settingsCmd struct {
-	part
-	names bool
-	boot  string
+	processFlags
+	listNames bool
+	bootPath  string
 }
 
 func (*settingsCmd) Name() string     { return "settings" }
-func (*settingsCmd) Synopsis() string { return "check a settings file, or list its parts" }
+func (*settingsCmd) Synopsis() string { return "validate a settings file, or list its processes" }
 func (*settingsCmd) Usage() string {
-	return "settings -settings FILE [-names] | -boot FILE\n\tCheck the file; with -names print each part as ROLE NAME, one a line.\n" +
-		"\tWith -boot check a settings file of the platform instead.\n"
+	return "settings -settings FILE [-names] | -boot FILE\n\tValidate the file; with -names print each process as ROLE NAME, one per line.\n" +
+		"\tWith -boot validate a settings file of the platform instead.\n"
 }
 func (c *settingsCmd) SetFlags(f *flag.FlagSet) {
-	c.flags(f)
-	f.BoolVar(&c.names, "names", false, "print the parts to start, one a line")
-	f.StringVar(&c.boot, "boot", "", "the platform's settings file")
+	c.register(f)
+	f.BoolVar(&c.listNames, "names", false, "print the processes to start, one per line")
+	f.StringVar(&c.bootPath, "boot", "", "platform settings file to validate")
 }
 
 func (c *settingsCmd) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	if c.boot != "" {
-		return checkBoot(c.boot)
+	if c.bootPath != "" {
+		return checkBootFile(c.bootPath)
 	}
-	cfg, err := c.load()
+	cfg, err := c.loadSettings()
 	if err != nil {
 		return fail(err)
 	}
-	if !c.names {
+	if !c.listNames {
 		fmt.Printf("settings: %s is valid: %d zones, %d entries, %d targets\n", cfg.Deployment, len(cfg.Zones), len(cfg.Entries), len(cfg.Targets))
 		return subcommands.ExitSuccess
 	}
@@ -50,8 +50,8 @@
 	return subcommands.ExitSuccess
 }
 
-// checkBoot checks a settings file of the platform.
-func checkBoot(path string) subcommands.ExitStatus {
+// checkBootFile validates a settings file of the platform.
+func checkBootFile(path string) subcommands.ExitStatus {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return fail(err)
--- a/cmd/ragworthitch/soak.go
+++ b/cmd/ragworthitch/soak.go
@@ -13,37 +13,37 @@
 )
 
 type soakCmd struct {
-	seed   uint64
-	plays  int
-	long   time.Duration
-	size   string
-	plan   string
-	save   string
-	dir    string
-	plot   string
-	shrink bool
-	print  bool
+	seed        uint64
+	runs        int
+	duration    time.Duration
+	size        string
+	planPath    string
+	savePath    string
+	dir         string
+	goodputPath string
+	shrink      bool
+	print       bool
 }
 
 func (*soakCmd) Name() string { return "soak" }
 func (*soakCmd) Synopsis() string {
-	return "run the real programs as processes, with faults, and check what callers and targets see"
+	return "run a soak test: real processes with injected faults, and checks of every answer"
 }
 func (*soakCmd) Usage() string {
 	return "soak [-seed N] [-plays N] [-for D] [-size small|usual|limit] [-plan FILE] [-shrink] [-save FILE] [-goodput FILE] [-dir DIR] [-print]\n" +
-		"\tPlay the plan of a seed, or of a file; -plays plays as many seeds, one after the other.\n"
+		"\tRun the plan of a seed or of a file; with -plays N the plans of N consecutive seeds.\n"
 }
 func (c *soakCmd) SetFlags(f *flag.FlagSet) {
-	f.Uint64Var(&c.seed, "seed", 1, "seed of the plan, and of the first play")
-	f.IntVar(&c.plays, "plays", 1, "seeds to play")
-	f.DurationVar(&c.long, "for", time.Minute, "time of a play")
-	f.StringVar(&c.size, "size", "small", "small, usual or limit")
-	f.StringVar(&c.plan, "plan", "", "play the plan in this file")
-	f.StringVar(&c.save, "save", "", "write the plan, or what it was shrunk to, to this file")
-	f.StringVar(&c.dir, "dir", "", "folder for logs and records; empty: a temporary one, kept if a promise was broken")
-	f.StringVar(&c.plot, "goodput", "", "write the calls served in each second and the faults to this JSON file")
-	f.BoolVar(&c.shrink, "shrink", false, "look for a smaller plan that breaks a promise, too")
-	f.BoolVar(&c.print, "print", false, "print the plan and do not play")
+	f.Uint64Var(&c.seed, "seed", 1, "seed of the first run's plan")
+	f.IntVar(&c.runs, "plays", 1, "number of runs, with consecutive seeds")
+	f.DurationVar(&c.duration, "for", time.Minute, "duration of a run")
+	f.StringVar(&c.size, "size", "small", "size of the deployment and load: small, usual or limit")
+	f.StringVar(&c.planPath, "plan", "", "run the plan in this file")
+	f.StringVar(&c.savePath, "save", "", "write the plan, after -shrink the smaller one, to this file")
+	f.StringVar(&c.dir, "dir", "", "directory of logs and records; empty: a temporary one, kept if a promise was broken")
+	f.StringVar(&c.goodputPath, "goodput", "", "write the calls served per second and the faults to this JSON file")
+	f.BoolVar(&c.shrink, "shrink", false, "search for a smaller plan that breaks the same promise")
+	f.BoolVar(&c.print, "print", false, "print the plan without running it")
 }
 
 func (c *soakCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -52,9 +52,9 @@
 		return fail(err)
 	}
 	runner := soak.Runner{Program: program, Dir: c.dir, Out: os.Stdout}
-	broken := 0
-	for n := range max(1, c.plays) {
-		plan, err := c.read(c.seed + uint64(n))
+	failedRuns := 0
+	for n := range max(1, c.runs) {
+		plan, err := c.loadPlan(c.seed + uint64(n))
 		if err != nil {
 			return fail(err)
 		}
@@ -67,36 +67,36 @@
 			return fail(err)
 		}
 		if len(report.Violations) > 0 {
-			broken++
+			failedRuns++
 			if c.shrink {
 				plan = runner.Shrink(ctx, plan, report)
 			}
 		}
-		if err := c.write(plan, report); err != nil {
+		if err := c.saveResults(plan, report); err != nil {
 			return fail(err)
 		}
 	}
-	if broken > 0 {
-		return fail(fmt.Errorf("soak: %d of %d plays broke a promise", broken, max(1, c.plays)))
+	if failedRuns > 0 {
+		return fail(fmt.Errorf("soak: %d of %d runs broke a promise", failedRuns, max(1, c.runs)))
 	}
 	return subcommands.ExitSuccess
 }
 
-func (c *soakCmd) read(seed uint64) (soak.Plan, error) {
-	if c.plan != "" {
-		return soak.ReadPlan(c.plan)
+func (c *soakCmd) loadPlan(seed uint64) (soak.Plan, error) {
+	if c.planPath != "" {
+		return soak.ReadPlan(c.planPath)
 	}
-	return soak.NewPlan(seed, c.size, c.long)
+	return soak.NewPlan(seed, c.size, c.duration)
 }
 
-func (c *soakCmd) write(plan soak.Plan, r soak.Report) error {
-	if c.save != "" {
-		if err := plan.Write(c.save); err != nil {
+func (c *soakCmd) saveResults(plan soak.Plan, report soak.Report) error {
+	if c.savePath != "" {
+		if err := plan.Write(c.savePath); err != nil {
 			return err
 		}
 	}
-	if c.plot != "" {
-		return r.WriteGoodput(c.plot)
+	if c.goodputPath != "" {
+		return report.WriteGoodput(c.goodputPath)
 	}
 	return nil
 }
--- a/cmd/ragworthitch/soakstore.go
+++ b/cmd/ragworthitch/soakstore.go
@@ -16,39 +16,40 @@
 	"github.com/ragworthitch/ragworthitch/platform"
 )
 
-// soakHost begins every address that a part of a soak writes.
-const soakHost = `"127.0.0.1:`
+// loopbackPrefix is the start of the addresses that the processes of a soak test
+// write to the store.
+const loopbackPrefix = `"127.0.0.1:`
 
 type soakStoreCmd struct{}
 
 func (*soakStoreCmd) Name() string     { return "soakstore" }
-func (*soakStoreCmd) Synopsis() string { return "run the store of a soak" }
+func (*soakStoreCmd) Synopsis() string { return "run the store of a soak test" }
 func (*soakStoreCmd) Usage() string {
-	return "soakstore ADDRESS[=HOST]...\n\tServe the platform's stand-in at each address; readers there see HOST in place of the loopback host in rows.\n"
+	return "soakstore ADDRESS[=HOST]...\n\tServe the stand-in for the platform at each address, with the loopback host in rows replaced by HOST for its readers.\n"
 }
 func (*soakStoreCmd) SetFlags(*flag.FlagSet) {}
 
 func (*soakStoreCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	var rows platform.StandIn
+	var standIn platform.StandIn
 	p := pool.New().WithContext(ctx).WithCancelOnError()
 	for _, arg := range f.Args() {
-		addr, host, seen := strings.Cut(arg, "=")
-		h := rows.Handler()
-		if seen {
-			h = rows.HandlerAs(func(v []byte) []byte { return bytes.ReplaceAll(v, []byte(soakHost), []byte(`"`+host+":")) })
+		addr, host, hasHost := strings.Cut(arg, "=")
+		handler := standIn.Handler()
+		if hasHost {
+			handler = standIn.HandlerAs(func(v []byte) []byte { return bytes.ReplaceAll(v, []byte(loopbackPrefix), []byte(`"`+host+":")) })
 		}
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return fail(err)
 		}
-		srv := &http.Server{Handler: h}
+		srv := &http.Server{Handler: handler}
 		p.Go(func(context.Context) error { return srv.Serve(ln) })
 		p.Go(func(ctx context.Context) error {
 			<-ctx.Done()
 			return srv.Close()
 		})
 	}
-	p.Go(rows.Lapse)
+	p.Go(standIn.Lapse)
 	fmt.Println("store: started")
 	if err := p.Wait(); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fail(err)
--- a/cmd/ragworthitch/soaktarget.go
+++ b/cmd/ragworthitch/soaktarget.go
@@ -14,18 +14,18 @@
 type soakTargetCmd struct{}
 
 func (*soakTargetCmd) Name() string     { return "soaktarget" }
-func (*soakTargetCmd) Synopsis() string { return "run a model engine or plain service of a soak" }
+func (*soakTargetCmd) Synopsis() string { return "run a model engine or plain service of a soak test" }
 func (*soakTargetCmd) Usage() string {
-	return "soaktarget CONFIG\n\tServe as a target; CONFIG is JSON. SIGTERM has it leave in order.\n"
+	return "soaktarget CONFIG\n\tServe as a target; CONFIG is JSON. SIGTERM drains the target.\n"
 }
 func (*soakTargetCmd) SetFlags(*flag.FlagSet) {}
 
 func (*soakTargetCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	var c soak.TargetConfig
-	if err := json.Unmarshal([]byte(f.Arg(0)), &c); err != nil {
+	var config soak.TargetConfig
+	if err := json.Unmarshal([]byte(f.Arg(0)), &config); err != nil {
 		return fail(fmt.Errorf("soaktarget: config: %w", err))
 	}
-	if err := soak.RunTarget(ctx, c); err != nil {
+	if err := soak.RunTarget(ctx, config); err != nil {
 		return fail(err)
 	}
 	return subcommands.ExitSuccess
--- a/cmd/ragworthitch/timeline.go
+++ b/cmd/ragworthitch/timeline.go
@@ -15,21 +15,21 @@
 
 func (*timelineCmd) Name() string { return "timeline" }
 func (*timelineCmd) Synopsis() string {
-	return "merge the JSON logs of all processes into one time line"
+	return "merge the JSON logs of all processes by time"
 }
 func (*timelineCmd) Usage() string {
-	return "timeline [-request ID | -target ID] FILE...\n\tPrint every log line of the files, ordered by time, as TIME PROCESS ZONE MESSAGE;\n" +
-		"\twith -request the story of one request: its lines (*) with all fields, and what its processes came to believe meanwhile;\n" +
-		"\twith -target the lines of all processes on one target.\n"
+	return "timeline [-request ID | -target ID] FILE...\n\tPrint all log lines of the files, ordered by time, as TIME PROCESS ZONE MESSAGE;\n" +
+		"\twith -request the lines of one request (*) with all fields, and the state changes of the processes that handled it;\n" +
+		"\twith -target the lines of all processes about one target.\n"
 }
 func (c *timelineCmd) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.request, "request", "", "print the story of the request with this id")
-	f.StringVar(&c.target, "target", "", "print the lines on the target with this id")
+	f.StringVar(&c.request, "request", "", "print the lines of the request with this id")
+	f.StringVar(&c.target, "target", "", "print the lines about the target with this id")
 }
 
 func (c *timelineCmd) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		return fail(fmt.Errorf("timeline: name at least one log file"))
+		return fail(fmt.Errorf("timeline: no log file given"))
 	}
 	if err := c.print(f.Args()); err != nil {
 		return fail(err)
@@ -37,23 +37,23 @@
 	return subcommands.ExitSuccess
 }
 
-// print prints what the flags ask for.
+// print prints the lines that the flags select.
 func (c *timelineCmd) print(files []string) error {
 	switch {
 	case c.request != "":
 		n, err := logs.Story(os.Stdout, c.request, files)
-		return lines(n, err, "request", c.request)
+		return requireLines(n, err, "request", c.request)
 	case c.target != "":
 		n, err := logs.OfTarget(os.Stdout, c.target, files)
-		return lines(n, err, "target", c.target)
+		return requireLines(n, err, "target", c.target)
 	}
 	return logs.Timeline(os.Stdout, files)
 }
 
-// lines is an error also if there are no lines of what was asked for.
-func lines(n int, err error, what, id string) error {
+// requireLines returns err, or an error if no line was printed.
+func requireLines(n int, err error, kind, id string) error {
 	if err == nil && n == 0 {
-		return fmt.Errorf("timeline: no line of %s %q", what, id)
+		return fmt.Errorf("timeline: no line of %s %q", kind, id)
 	}
 	return err
 }
