--- a/emulator/body.go
+++ b/emulator/body.go
@@ -5,26 +5,28 @@
 	"strings"
 )
 
-// deadlyMark ends the body of a call that crashes the engine which runs it.
-const deadlyMark = "deadly"
+// poisonSuffix marks the body of a poison request.
+const poisonSuffix = "deadly"
 
-// Body is the body of a call to emulated engines: how many events its answer has,
-// which no entry knows beforehand, and what tells it from others.
-func Body(events int, about string) []byte {
-	return []byte(strconv.Itoa(events) + " " + about)
+// Body returns the body of a call to emulated engines. It carries the number
+// of events of the answer, which entry instances can't know beforehand, and a
+// label that distinguishes the call.
+func Body(events int, label string) []byte {
+	return []byte(strconv.Itoa(events) + " " + label)
 }
 
-// DeadlyBody is the body of a call that crashes the engine which begins to run it.
-func DeadlyBody(events int, about string) []byte {
-	return append(Body(events, about), " "+deadlyMark...)
+// PoisonBody returns the body of a poison request: an engine that starts to
+// generate its answer crashes.
+func PoisonBody(events int, label string) []byte {
+	return append(Body(events, label), " "+poisonSuffix...)
 }
 
-// readBody reads a Body; events is 0 if it is none.
-func readBody(b []byte) (events int, deadly bool) {
+// parseBody parses a body made by Body or PoisonBody; events is 0 for any other.
+func parseBody(b []byte) (events int, poison bool) {
 	first, rest, _ := strings.Cut(string(b), " ")
 	events, err := strconv.Atoi(first)
 	if err != nil {
 		return 0, false
 	}
-	return events, strings.HasSuffix(rest, " "+deadlyMark)
+	return events, strings.HasSuffix(rest, " "+poisonSuffix)
 }
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -2,45 +2,46 @@
 
 import "slices"
 
-// cache is the prompts that an engine has kept, the least recently used
-// first. The zero value is empty.
-type cache struct {
-	kept  []kept
-	total int
+// promptCache is an engine's LRU cache of prompts, least recently used first.
+// The zero value is empty.
+type promptCache struct {
+	prompts []cachedPrompt
+	tokens  int
 }
 
-type kept struct {
+type cachedPrompt struct {
 	subject string
 	tokens  int
 }
 
-// put keeps a prompt; one without a subject is nobody's.
-func (c *cache) put(subject string, tokens int) {
+// add caches a prompt. A prompt without a subject can't be looked up and is
+// not cached.
+func (c *promptCache) add(subject string, tokens int) {
 	if subject == "" {
 		return
 	}
-	c.take(subject)
-	c.kept = append(c.kept, kept{subject, tokens})
-	c.total += tokens
+	c.remove(subject)
+	c.prompts = append(c.prompts, cachedPrompt{subject, tokens})
+	c.tokens += tokens
 }
 
-// take returns how many tokens of a prompt are kept, which belong to the
-// taker from then on.
-func (c *cache) take(subject string) int {
-	i := slices.IndexFunc(c.kept, func(k kept) bool { return k.subject == subject })
+// remove takes a prompt out of the cache and returns its number of cached
+// tokens.
+func (c *promptCache) remove(subject string) int {
+	i := slices.IndexFunc(c.prompts, func(k cachedPrompt) bool { return k.subject == subject })
 	if i < 0 {
 		return 0
 	}
-	n := c.kept[i].tokens
-	c.kept = slices.Delete(c.kept, i, i+1)
-	c.total -= n
+	n := c.prompts[i].tokens
+	c.prompts = slices.Delete(c.prompts, i, i+1)
+	c.tokens -= n
 	return n
 }
 
-// shrink has the least recently used prompts yield down to so many tokens.
-func (c *cache) shrink(to int) {
-	for c.total > max(to, 0) {
-		c.total -= c.kept[0].tokens
-		c.kept = c.kept[1:]
+// evict drops the least recently used prompts until at most limit tokens remain.
+func (c *promptCache) evict(limit int) {
+	for c.tokens > max(limit, 0) {
+		c.tokens -= c.prompts[0].tokens
+		c.prompts = c.prompts[1:]
 	}
 }
--- a/emulator/cluster.go
+++ b/emulator/cluster.go
@@ -18,180 +18,176 @@
 )
 
 const (
-	// wayThere is the time of a message to an engine, zones taken together.
-	wayThere = 500 * time.Microsecond
-	// crashAfter is how long after it has begun a deadly call an engine crashes.
-	crashAfter = 100 * time.Millisecond
-	// sentAgain is how long after a packet that was lost the sender's kernel
-	// sends it again.
-	sentAgain = 200 * time.Millisecond
+	messageDelay    = 500 * time.Microsecond // from an entry instance to an engine of any zone
+	crashDelay      = 100 * time.Millisecond // from the first token of a poison request to the crash
+	retransmitDelay = 200 * time.Millisecond // TCP's, after a lost packet
 )
 
 var (
-	errTakesNone = errors.New("emulator: takes no connections")
-	errLeft      = errors.New("emulator: the caller left")
+	errNotAccepting = errors.New("emulator: engine accepts no connections")
+	errCallerGone   = errors.New("emulator: caller disconnected")
 )
 
 type (
-	// Cluster is the engines of one service. Make one with NewCluster.
+	// Cluster holds the engines of one service. Create it with NewCluster.
 	Cluster struct {
-		service string
-		kind    Kind
-		tell    bool              // engines tell when they started
-		engines map[string]*Place // by address
-		// Crashed is called when an engine is to crash of a call that it has begun;
-		// nil: it does not.
-		Crashed func(p *Place)
+		service      string
+		profile      Profile
+		reportsStart bool             // engines report when their boots started
+		nodes        map[string]*Node // by address
+		// OnCrash is called when a poison request crashes an engine; if it is nil,
+		// poison requests crash none.
+		OnCrash func(n *Node)
 
 		mu   sync.Mutex
-		loss map[string]float64 // share of the packets lost between a zone and the others
+		loss map[string]float64 // share of packets lost between a zone and the others
 		rng  *rand.Rand
 	}
 
-	// Sender is the ingress.Sender of an entry instance of a zone.
+	// Sender is the ingress.Sender of an entry instance in a zone.
 	Sender struct {
 		*Cluster
 		Zone string
 	}
 
-	// Place is an engine and where it stands.
-	Place struct {
+	// Node is an engine with its address and zone.
+	Node struct {
 		*Engine
 		Addr, Zone string
 	}
 )
 
-// NewCluster returns a cluster of engines of a kind, spread over zones in turn.
-func NewCluster(service string, engines int, zones []string, kind Kind) *Cluster {
-	c := &Cluster{service: service, kind: kind, engines: map[string]*Place{}, loss: map[string]float64{}, rng: rand.New(rand.NewPCG(1, 3))}
+// NewCluster returns a cluster of engines with one profile, assigned to the
+// zones round-robin.
+func NewCluster(service string, engines int, zones []string, profile Profile) *Cluster {
+	c := &Cluster{service: service, profile: profile, nodes: map[string]*Node{}, loss: map[string]float64{}, rng: rand.New(rand.NewPCG(1, 3))}
 	for i := range engines {
 		addr := fmt.Sprintf("127.0.1.%d:80", i+1)
-		c.engines[addr] = &Place{Engine: NewEngine(kind), Addr: addr, Zone: zones[i%len(zones)]}
+		c.nodes[addr] = &Node{Engine: NewEngine(profile), Addr: addr, Zone: zones[i%len(zones)]}
 	}
 	return c
 }
 
-// TellStarts has the engines tell when they started. Those that don't have a new
-// id for each start.
-func (c *Cluster) TellStarts() { c.tell = true }
+// ReportStartTimes makes the engines report when they started. Without it a
+// boot is recognised by its new id.
+func (c *Cluster) ReportStartTimes() { c.reportsStart = true }
 
-// Places are the cluster's engines by address.
-func (c *Cluster) Places() map[string]*Place { return c.engines }
+// Nodes returns the cluster's engines by address.
+func (c *Cluster) Nodes() map[string]*Node { return c.nodes }
 
-// Target is the entry of an engine's present boot.
-func (c *Cluster) Target(p *Place) ragworthitch.Target {
-	_, started := p.identity()
-	if !c.tell {
+// Target returns the target that stands for an engine's current boot.
+func (c *Cluster) Target(n *Node) ragworthitch.Target {
+	_, started := n.identity()
+	if !c.reportsStart {
 		started = 0
 	}
-	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: p.id(), Started: started, Service: c.service, Address: p.Addr, Zone: p.Zone, Slots: p.kind.Slots})
+	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: n.id(), Started: started, Service: c.service, Address: n.Addr, Zone: n.Zone, Slots: n.profile.Slots})
 }
 
-// id is the id of the engine's present boot.
-func (p *Place) id() string {
-	id, _ := p.identity()
-	return fmt.Sprintf("%s#%d", p.Addr, id)
+// id returns the target id of the engine's current boot.
+func (n *Node) id() string {
+	id, _ := n.identity()
+	return fmt.Sprintf("%s#%d", n.Addr, id)
 }
 
-// Lose has the links between a zone and the others lose a share of the
-// packets; 0 ends it.
-func (c *Cluster) Lose(zone string, share float64) {
+// SetPacketLoss sets the share of packets lost between a zone and the others.
+func (c *Cluster) SetPacketLoss(zone string, share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loss[zone] = share
 }
 
-// lost reports whether a packet between two zones is lost.
-func (c *Cluster) lost(a, b string) bool {
+// losesPacket draws whether a packet between two zones is lost.
+func (c *Cluster) losesPacket(a, b string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return a != b && c.rng.Float64() < max(c.loss[a], c.loss[b])
 }
 
-// Probe reports whether an engine takes connections.
+// Probe returns an error if the engine accepts no connections.
 func (c *Cluster) Probe(ctx context.Context, m *registry.Member) error {
-	return c.engines[m.Target().Address()].connect(ctx)
+	return c.nodes[m.Target().Address()].connect(ctx)
 }
 
-// connect takes what a connection takes, and fails as one does.
-func (p *Place) connect(ctx context.Context) error {
-	switch p.State() {
+// connect emulates the delay and the errors of opening a connection.
+func (n *Node) connect(ctx context.Context) error {
+	switch n.State() {
 	case Down:
-		return fmt.Errorf("%w: %w", upstream.ErrNotSent, errTakesNone)
-	case Dark:
+		return fmt.Errorf("%w: %w", upstream.ErrNotSent, errNotAccepting)
+	case Unreachable:
 		clock.Sleep(ctx, upstream.DialTimeout)
-		return fmt.Errorf("%w: %w", upstream.ErrNotSent, errTakesNone)
+		return fmt.Errorf("%w: %w", upstream.ErrNotSent, errNotAccepting)
 	}
-	clock.Sleep(ctx, wayThere)
+	clock.Sleep(ctx, messageDelay)
 	return nil
 }
 
-// Send has an engine run an order, and returns when it has begun.
+// Send sends an attempt to its engine and returns at the first token.
 func (c Sender) Send(ctx context.Context, o *ingress.Order) (*ingress.Reply, error) {
-	p := c.engines[o.Target.Address()]
-	if err := p.connect(ctx); err != nil {
+	n := c.nodes[o.Target.Address()]
+	if err := n.connect(ctx); err != nil {
 		return nil, err
 	}
-	if p.id() != o.Target.ID() {
+	if n.id() != o.Target.ID() {
 		return &ingress.Reply{Status: http.StatusMisdirectedRequest, Elsewhere: true, Body: http.NoBody, Sized: true}, nil
 	}
-	run, err := p.Start(c.request(o))
+	generation, err := n.Start(c.newRequest(o))
 	if err != nil {
 		return &ingress.Reply{Status: http.StatusServiceUnavailable, NotRun: true, Body: http.NoBody, Sized: true}, nil
 	}
 	select {
 	case <-ctx.Done():
-		p.Stop(run)
-		return nil, fmt.Errorf("%w: %w", upstream.ErrSent, errLeft)
-	case <-run.Begun():
-	case <-run.over:
-		return nil, fmt.Errorf("%w: %v", upstream.ErrSent, run.Err())
+		n.Stop(generation)
+		return nil, fmt.Errorf("%w: %w", upstream.ErrSent, errCallerGone)
+	case <-generation.FirstToken():
+	case <-generation.done:
+		return nil, fmt.Errorf("%w: %v", upstream.ErrSent, generation.Err())
 	}
-	if _, deadly := readBody(o.Call.Body); deadly && c.Crashed != nil {
-		time.AfterFunc(crashAfter, func() { c.Crashed(p) })
+	if _, poison := parseBody(o.Call.Body); poison && c.OnCrash != nil {
+		time.AfterFunc(crashDelay, func() { c.OnCrash(n) })
 	}
-	events := func(emit func(ingress.Event) bool) error { return c.follow(ctx, p, run, emit) }
-	return &ingress.Reply{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: ingress.EmptyBody(func() { p.Stop(run) }), Sized: true, Events: events}, nil
+	events := func(emit func(ingress.Event) bool) error { return c.forwardEvents(ctx, n, generation, emit) }
+	return &ingress.Reply{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: ingress.EmptyBody(func() { n.Stop(generation) }), Sized: true, Events: events}, nil
 }
 
-// request is what an order asks of an engine.
-func (c *Cluster) request(o *ingress.Order) Request {
-	after, err := strconv.Atoi(o.After)
+// newRequest translates an attempt into a request to an engine.
+func (c *Cluster) newRequest(o *ingress.Order) Request {
+	resumeOffset, err := strconv.Atoi(o.After)
 	if err != nil {
-		after = 0 // from the start
+		resumeOffset = 0 // from the start
 	}
-	events, deadly := readBody(o.Call.Body)
+	events, poison := parseBody(o.Call.Body)
 	if events == 0 {
-		events = o.Call.Output / max(1, c.kind.Stride)
+		events = o.Call.Output / max(1, c.profile.TokensPerEvent)
 	}
-	q := Request{Call: o.Call.ID, Subject: o.Call.Subject, Prompt: o.Call.Prompt, Events: events,
-		After: after, Urgency: int(o.Rank), From: o.CopyAt != "", Deadly: deadly}
-	if b := c.engines[o.BackupAt]; b != nil {
-		q.Backup = b.Engine
+	q := Request{CallID: o.Call.ID, Subject: o.Call.Subject, PromptTokens: o.Call.Prompt, Events: events,
+		ResumeOffset: resumeOffset, Rank: int(o.Rank), FromReplica: o.CopyAt != "", Poison: poison}
+	if r := c.nodes[o.BackupAt]; r != nil {
+		q.ReplicaTarget = r.Engine
 	}
 	return q
 }
 
-// follow hands a run's events on, each with the time at which it was made in
-// its text. A packet that is lost is sent again after a while, and those
-// behind it wait.
-func (c Sender) follow(ctx context.Context, p *Place, run *Run, emit func(ingress.Event) bool) error {
+// forwardEvents passes a generation's events to emit. The text of each is the
+// time when the engine generated it. A lost packet delays its event and, as in
+// TCP, all those after it.
+func (c Sender) forwardEvents(ctx context.Context, n *Node, generation *Generation, emit func(ingress.Event) bool) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case made, ok := <-run.Output():
+		case event, ok := <-generation.Output():
 			if !ok {
-				return run.Err()
+				return generation.Err()
 			}
-			if s := p.State(); s == Dark || s == Stuck {
-				<-ctx.Done() // nothing comes through
+			if s := n.State(); s == Unreachable || s == Stuck {
+				<-ctx.Done() // the engine sends nothing until it is restarted
 				return ctx.Err()
 			}
-			if c.lost(c.Zone, p.Zone) {
-				clock.Sleep(ctx, sentAgain)
+			if c.losesPacket(c.Zone, n.Zone) {
+				clock.Sleep(ctx, retransmitDelay)
 			}
-			if !emit(ingress.Event{Raw: made.At.AppendFormat(nil, time.RFC3339Nano), ID: int64(made.N)}) {
+			if !emit(ingress.Event{Raw: event.GeneratedAt.AppendFormat(nil, time.RFC3339Nano), ID: int64(event.ID)}) {
 				return nil
 			}
 		}
--- a/emulator/cluster_test.go
+++ b/emulator/cluster_test.go
@@ -11,25 +11,25 @@
 	"github.com/ragworthitch/ragworthitch/ingress"
 )
 
-// A reply that is done with before its events were read stops its run.
-func TestUnreadReplyStopsItsRun(t *testing.T) {
+// Guards against generations that keep their slot after the reply was closed
+// unread.
+func TestClosingUnreadReplyStopsGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster("llm", 1, []string{"a"}, Usual())
+		c := NewCluster("llm", 1, []string{"a"}, DefaultProfile())
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		for _, p := range c.Places() {
-			go p.Run(ctx)
-			reply, err := Sender{c, "a"}.Send(ctx, &ingress.Order{Call: &ingress.Call{ID: "x", Prompt: 800, Output: 1000}, Target: c.Target(p)})
+		for _, n := range c.Nodes() {
+			go n.Run(ctx)
+			reply, err := Sender{c, "a"}.Send(ctx, &ingress.Order{Call: &ingress.Call{ID: "x", Prompt: 800, Output: 1000}, Target: c.Target(n)})
 			require.NoError(t, err)
-			require.Equal(t, 1, p.atWork())
+			require.Equal(t, 1, n.countGenerations())
 			require.NoError(t, reply.Body.Close())
-			assert.Zero(t, p.atWork())
+			assert.Zero(t, n.countGenerations())
 		}
 	})
 }
 
-// atWork is how many runs the engine has.
-func (e *Engine) atWork() int {
+func (e *Engine) countGenerations() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.running) + len(e.waiting)
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -1,9 +1,8 @@
-// Package emulator is a model of the engines that we serve, as their makers
-// publish it, in this process and without network: prompts are read in chunks
-// between the tokens of other requests, every request in the batch makes each
-// step longer, requests and cached prompts share one memory, and what does
-// not fit is stopped and read in again. It is for comparing policies under a
-// load; it generates no text.
+// Package emulator models LLM inference engines in process and without a
+// network, to compare policies under a workload: continuous batching with
+// chunked prefill, steps that take longer with each running request, and a KV
+// cache shared by requests and cached prompts, in which requests that don't
+// fit are preempted and prefilled again. It generates no text.
 package emulator
 
 import (
@@ -16,162 +15,163 @@
 )
 
 const (
-	// copyEvery is the time between two parts of a growing copy.
-	copyEvery = 200 * time.Millisecond
-	// CopyExpiry is how long a copy is kept after its last part.
-	CopyExpiry = 4 * time.Second
+	replicaInterval = 200 * time.Millisecond // between two updates of a replica
+	// ReplicaExpiry is how long an engine keeps a replica after its last update.
+	ReplicaExpiry = 4 * time.Second
 )
 
 var (
-	// ErrCrashed ends the runs of an engine that crashes.
+	// ErrCrashed ends the generations of an engine that crashes.
 	ErrCrashed = errors.New("emulator: engine crashed")
-	// ErrNoCopy refuses a run that is to go on from a copy that is not there.
-	ErrNoCopy = errors.New("emulator: no such copy")
-	// ErrDown refuses a run at an engine that is down.
+	// ErrNoReplica rejects a request to continue from a replica that the engine
+	// doesn't hold.
+	ErrNoReplica = errors.New("emulator: engine holds no replica of the call")
+	// ErrDown rejects a request to an engine that is down.
 	ErrDown = errors.New("emulator: engine is down")
 )
 
 type (
-	// Engine is one emulated engine. Make one with NewEngine and let Run
+	// Engine is an emulated engine. Create it with NewEngine and call Run to
 	// drive it.
 	Engine struct {
-		kind Kind
-		wake chan struct{}
-
-		mu      sync.Mutex
-		slow    float64 // how many times as long everything takes; 0: once
-		boot    int     // counts its starts
-		id      int     // counts the ids that it had
-		started time.Time
-		state   State
-		arrived int
-		waiting []*Run
-		running []*Run
-		batch   []*Run // makes a token in this step
-		cache   cache
-		copies  map[string]copied
-		stats   Stats
+		profile Profile
+		wake    chan struct{}
+
+		mu        sync.Mutex
+		slowdown  float64 // factor on all durations; 0 means 1
+		bootCount int     // restarts
+		idNumber  int     // restarts under a new id
+		bootStart time.Time
+		state     State
+		arrivals  int
+		waiting   []*Generation
+		running   []*Generation
+		batch     []*Generation // generates a token in this step
+		cache     promptCache
+		replicas  map[string]replica
+		stats     Stats
 	}
 
-	// State says whether an engine works.
+	// State is whether and how an engine fails.
 	State uint8
 
-	// Request is what an engine is to generate.
+	// Request asks an engine to generate the events of an answer.
 	Request struct {
-		Call    string // id of the call
-		Subject string // what the prompt is about: cached under this name
-		Prompt  int    // tokens
-		Events  int    // of the whole answer
-		After   int    // events that the caller has
-		Urgency int    // lower is first
-		From    bool   // go on from the copy that is here
-		Deadly  bool   // it makes no event: its engine is to crash
-		Backup  *Engine
+		CallID        string
+		Subject       string // key of the prompt in the cache
+		PromptTokens  int
+		Events        int     // of the whole answer
+		ResumeOffset  int     // last event that the caller has
+		Rank          int     // lower ranks are served first
+		FromReplica   bool    // continue from the replica that the engine holds
+		Poison        bool    // generates no event, as the engine is about to crash
+		ReplicaTarget *Engine // nil: no replica is kept
 	}
 
-	// Run is one generation in progress. Its events are numbered from
-	// Request.After + 1.
-	Run struct {
+	// Generation is the processing of a request. Its first event has the id
+	// ResumeOffset + 1.
+	Generation struct {
 		Request
-		order  int
-		engine *Engine
-		toRead int // tokens before its next token
-		held   int // tokens in memory
-		made   int // tokens generated of the answer
-		copied time.Time
-		begun  chan struct{} // closed at the first token
-		events chan Made
-		over   chan struct{} // closed when the run has ended
-		err    error         // why it ended early
-		ended  bool
+		arrival      int
+		engine       *Engine
+		toPrefill    int           // tokens to process before the next token is generated
+		kvTokens     int           // tokens in the KV cache
+		generated    int           // tokens of the answer, with those before the resume offset
+		replicatedAt time.Time     // of the replica's last update
+		firstToken   chan struct{} // closed at the first token
+		events       chan Event
+		done         chan struct{}
+		err          error // why the generation ended early
+		ended        bool
 	}
 
-	// Made is one event of a run.
-	Made struct {
-		N  int
-		At time.Time
+	// Event is an event of a generation.
+	Event struct {
+		ID          int
+		GeneratedAt time.Time
 	}
 
-	// Stats are counts of an engine's work.
+	// Stats counts an engine's work.
 	Stats struct {
-		Read      int // prompt tokens read
-		Found     int // prompt tokens found in memory
-		Preempted int // runs stopped for want of memory
-		Copied    int // tokens copied to other engines
+		PrefillTokens    int // processed, with the answer's tokens that were processed again
+		CachedTokens     int // found in the prompt cache
+		Preemptions      int // generations preempted for lack of memory
+		ReplicatedTokens int // received in replicas from other engines
 	}
 
-	// copied is a copy of another engine's run.
-	copied struct {
-		tokens int
-		at     time.Time // of its last part
+	// replica is a copy of the KV cache of another engine's generation.
+	replica struct {
+		tokens    int
+		updatedAt time.Time
 	}
 )
 
 // States of an engine.
 const (
-	Up    State = iota
-	Down        // crashed: refuses connections
-	Dark        // without power: takes no connections and sends nothing
-	Stuck       // takes connections and sends nothing
+	Up          State = iota
+	Down              // crashed: rejects connections
+	Unreachable       // without power: connections time out, nothing is sent
+	Stuck             // accepts connections, but sends nothing
 )
 
-// NewEngine returns an engine of a kind with an empty memory.
-func NewEngine(k Kind) *Engine {
-	return &Engine{kind: k, wake: make(chan struct{}, 1), copies: map[string]copied{}}
+// NewEngine returns an engine with an empty cache.
+func NewEngine(p Profile) *Engine {
+	return &Engine{profile: p, wake: make(chan struct{}, 1), replicas: map[string]replica{}}
 }
 
-// Slow has everything take so many times as long; 1 ends it.
-func (e *Engine) Slow(times float64) {
+// SetSlowdown multiplies all of the engine's durations by a factor.
+func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = times
+	e.slowdown = factor
 }
 
-// slowed is how long something takes now; e.mu is held.
-func (e *Engine) slowed(d time.Duration) time.Duration {
-	if e.slow == 0 {
+// scaleDuration applies the slowdown; the caller holds e.mu.
+func (e *Engine) scaleDuration(d time.Duration) time.Duration {
+	if e.slowdown == 0 {
 		return d
 	}
-	return time.Duration(e.slow * float64(d))
+	return time.Duration(e.slowdown * float64(d))
 }
 
-// Boot counts the engine's starts.
+// Boot returns the number of the engine's restarts.
 func (e *Engine) Boot() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.boot
+	return e.bootCount
 }
 
-// firstStart stands for the start of an engine that has not been restarted.
-const firstStart = 1
+// initialStartMs is the start time of an engine that was never restarted; 0
+// would mean that the engine reports none.
+const initialStartMs = 1
 
-// identity is what the engine says of itself: its id, and when its boot started
-// in Unix ms.
-func (e *Engine) identity() (id int, started int64) {
+// identity returns the number in the engine's id and when its boot started, in
+// Unix ms.
+func (e *Engine) identity() (id int, startMs int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.started.IsZero() {
-		return e.id, firstStart
+	if e.bootStart.IsZero() {
+		return e.idNumber, initialStartMs
 	}
-	return e.id, e.started.UnixMilli()
+	return e.idNumber, e.bootStart.UnixMilli()
 }
 
-// State is the engine's state.
+// State returns the engine's state.
 func (e *Engine) State() State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state
 }
 
-// Stats are the engine's counts so far.
+// Stats returns the engine's counts so far.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// Fail puts the engine into a state other than Up. Its runs end, but for an
-// engine that is stuck or dark, where nobody is told.
+// Fail puts the engine into a state other than Up. Down ends its generations;
+// with Unreachable and Stuck their callers get neither an event nor an error.
 func (e *Engine) Fail(s State) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,106 +181,107 @@
 	}
 }
 
-// Restart has the engine work again: as a new boot with an empty memory, under
-// the id that it had if sameID is set, or, if it was only stuck, where it
-// stopped.
-func (e *Engine) Restart(sameID bool) {
+// Restart brings the engine up again. A stuck engine resumes its generations;
+// any other starts a new boot with an empty cache, under its old id if keepID
+// is set.
+func (e *Engine) Restart(keepID bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state != Stuck {
 		e.crash()
-		e.boot++
-		e.started = time.Now()
-		if !sameID {
-			e.id++
+		e.bootCount++
+		e.bootStart = time.Now()
+		if !keepID {
+			e.idNumber++
 		}
 	}
 	e.state = Up
-	e.rouse()
+	e.wakeLoop()
 }
 
-// crash ends all runs and drops all that is in memory; e.mu is held.
+// crash ends all generations and drops all cached state; the caller holds e.mu.
 func (e *Engine) crash() {
-	for _, r := range append(e.running, e.waiting...) {
-		r.end(ErrCrashed)
+	for _, g := range append(e.running, e.waiting...) {
+		g.end(ErrCrashed)
 	}
-	e.running, e.waiting, e.cache, e.copies = nil, nil, cache{}, map[string]copied{}
+	e.running, e.waiting, e.cache, e.replicas = nil, nil, promptCache{}, map[string]replica{}
 }
 
-// rouse wakes the engine's loop.
-func (e *Engine) rouse() {
+// wakeLoop wakes Run if it waits for work.
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Start queues a request. The run's events come until it ends or is stopped.
-func (e *Engine) Start(q Request) (*Run, error) {
+// Start queues a request.
+func (e *Engine) Start(q Request) (*Generation, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state == Down {
 		return nil, ErrDown
 	}
-	r := &Run{Request: q, engine: e, order: e.arrived, made: q.After * e.kind.Stride, toRead: q.Prompt + q.After*e.kind.Stride,
-		begun: make(chan struct{}), events: make(chan Made, q.Events+1), over: make(chan struct{})}
-	if q.From {
-		c, ok := e.copies[q.Call]
+	g := &Generation{Request: q, engine: e, arrival: e.arrivals, generated: q.ResumeOffset * e.profile.TokensPerEvent, toPrefill: q.PromptTokens + q.ResumeOffset*e.profile.TokensPerEvent,
+		firstToken: make(chan struct{}), events: make(chan Event, q.Events+1), done: make(chan struct{})}
+	if q.FromReplica {
+		r, ok := e.replicas[q.CallID]
 		if !ok {
-			return nil, ErrNoCopy
+			return nil, ErrNoReplica
 		}
-		delete(e.copies, q.Call)
-		r.toRead, r.held = max(0, r.toRead-c.tokens), min(r.toRead, c.tokens)
+		delete(e.replicas, q.CallID)
+		g.toPrefill, g.kvTokens = max(0, g.toPrefill-r.tokens), min(g.toPrefill, r.tokens)
 	}
-	e.arrived++
-	e.waiting = append(e.waiting, r)
-	e.rouse()
-	return r, nil
+	e.arrivals++
+	e.waiting = append(e.waiting, g)
+	e.wakeLoop()
+	return g, nil
 }
 
-// Stop ends a run whose caller has left; what it read stays cached.
-func (e *Engine) Stop(r *Run) {
+// Stop ends a generation whose caller has disconnected; its tokens stay cached.
+func (e *Engine) Stop(g *Generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.ended {
+	if g.ended {
 		return
 	}
-	r.end(context.Canceled)
-	e.drop(r)
+	g.end(context.Canceled)
+	e.remove(g)
 	if e.state == Up {
-		e.cache.put(r.Subject, r.held)
+		e.cache.add(g.Subject, g.kvTokens)
 	}
 }
 
-// Begun is closed at the run's first token.
-func (r *Run) Begun() <-chan struct{} { return r.begun }
+// FirstToken returns a channel that is closed at the first token.
+func (g *Generation) FirstToken() <-chan struct{} { return g.firstToken }
 
-// Output is the run's events as they are made; closed at its end.
-func (r *Run) Output() <-chan Made { return r.events }
+// Output returns the channel of the generation's events, closed at its end.
+func (g *Generation) Output() <-chan Event { return g.events }
 
-// Err is why the run ended early, or nil. It is set once Output is closed.
-func (r *Run) Err() error {
-	r.engine.mu.Lock()
-	defer r.engine.mu.Unlock()
-	return r.err
+// Err returns why the generation ended early, or nil. It is set before Output
+// is closed.
+func (g *Generation) Err() error {
+	g.engine.mu.Lock()
+	defer g.engine.mu.Unlock()
+	return g.err
 }
 
-// end ends a run; the engine's mu is held.
-func (r *Run) end(err error) {
-	if r.ended {
+// end ends the generation; the caller holds the engine's mu.
+func (g *Generation) end(err error) {
+	if g.ended {
 		return
 	}
-	r.ended, r.err = true, err
-	close(r.events)
-	close(r.over)
+	g.ended, g.err = true, err
+	close(g.events)
+	close(g.done)
 }
 
 // Run drives the engine until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if took := e.begin(); took > 0 {
-			clock.Sleep(ctx, took)
-			e.finish()
+		if stepTime := e.beginStep(); stepTime > 0 {
+			clock.Sleep(ctx, stepTime)
+			e.finishStep()
 			continue
 		}
 		select {
--- a/emulator/engine_test.go
+++ b/emulator/engine_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// play runs a test of engines in the time of a bubble.
-func play(t *testing.T, n int, f func(t *testing.T, es []*Engine)) {
+// runEngines runs a test with n engines in a synctest bubble.
+func runEngines(t *testing.T, n int, f func(t *testing.T, es []*Engine)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		es := make([]*Engine, n)
 		for i := range es {
-			es[i] = NewEngine(Usual())
+			es[i] = NewEngine(DefaultProfile())
 			go es[i].Run(ctx)
 		}
 		f(t, es)
@@ -26,111 +26,111 @@
 	})
 }
 
-func start(t *testing.T, e *Engine, q Request) *Run {
+func start(t *testing.T, e *Engine, q Request) *Generation {
 	t.Helper()
-	r, err := e.Start(q)
+	g, err := e.Start(q)
 	require.NoError(t, err)
-	return r
+	return g
 }
 
-// last reads a run's events to their end.
-func last(r *Run) (n int) {
-	for e := range r.Output() {
-		n = e.N
+// lastEvent drains a generation's events and returns the id of the last.
+func lastEvent(g *Generation) (n int) {
+	for e := range g.Output() {
+		n = e.ID
 	}
 	return n
 }
 
-// An idle engine reads 8 tokens a ms and makes a token in 2.72 ms; the events
-// of a stream beside a prompt that is read come every 280 ms.
-func TestPace(t *testing.T) {
-	play(t, 1, func(t *testing.T, es []*Engine) {
-		begun := time.Now()
-		a := start(t, es[0], Request{Call: "a", Prompt: 8000, Events: 130})
-		<-a.Begun()
-		assert.InDelta(t, 1120, time.Since(begun).Milliseconds(), 20)
+// With the default profile an idle engine prefills 8 tokens per ms and
+// generates a token in 2.72 ms; the prefill of another prompt slows a stream.
+func TestPrefillTimeAndEventInterval(t *testing.T) {
+	runEngines(t, 1, func(t *testing.T, es []*Engine) {
+		startedAt := time.Now()
+		a := start(t, es[0], Request{CallID: "a", PromptTokens: 8000, Events: 130})
+		<-a.FirstToken()
+		assert.InDelta(t, 1120, time.Since(startedAt).Milliseconds(), 20)
 		<-a.Output()
-		at := time.Now()
+		eventAt := time.Now()
 		for range 10 {
 			<-a.Output()
 		}
-		assert.InDelta(t, 272, time.Since(at).Milliseconds(), 5)
-		start(t, es[0], Request{Call: "b", Prompt: 8000, Events: 130})
+		assert.InDelta(t, 272, time.Since(eventAt).Milliseconds(), 5)
+		start(t, es[0], Request{CallID: "b", PromptTokens: 8000, Events: 130})
 		<-a.Output()
-		at = time.Now()
+		eventAt = time.Now()
 		<-a.Output()
-		assert.InDelta(t, 280, time.Since(at).Milliseconds(), 5)
-		assert.Equal(t, 130, last(a))
+		assert.InDelta(t, 280, time.Since(eventAt).Milliseconds(), 5)
+		assert.Equal(t, 130, lastEvent(a))
 		assert.NoError(t, a.Err())
 	})
 }
 
-// A prompt that is kept is not read again; a copy has what is missing read
-// only, and is used once.
-func TestMemory(t *testing.T) {
-	play(t, 2, func(t *testing.T, es []*Engine) {
-		last(start(t, es[0], Request{Call: "a", Subject: "s", Prompt: 8000, Events: 10}))
-		r := start(t, es[0], Request{Call: "b", Subject: "s", Prompt: 8000, Events: 10})
-		last(r)
-		assert.Equal(t, Stats{Read: 8000, Found: 8000}, es[0].Stats())
+// A cached prompt needs no prefill. A replica saves all prefill but that of the
+// tokens after its last update, and is used once.
+func TestCachedPromptsAndReplicas(t *testing.T) {
+	runEngines(t, 2, func(t *testing.T, es []*Engine) {
+		lastEvent(start(t, es[0], Request{CallID: "a", Subject: "s", PromptTokens: 8000, Events: 10}))
+		g := start(t, es[0], Request{CallID: "b", Subject: "s", PromptTokens: 8000, Events: 10})
+		lastEvent(g)
+		assert.Equal(t, Stats{PrefillTokens: 8000, CachedTokens: 8000}, es[0].Stats())
 
-		c := start(t, es[0], Request{Call: "c", Subject: "other", Prompt: 8000, Events: 100, Backup: es[1]})
+		c := start(t, es[0], Request{CallID: "c", Subject: "other", PromptTokens: 8000, Events: 100, ReplicaTarget: es[1]})
 		for range 20 {
 			<-c.Output()
 		}
 		es[0].Fail(Down)
-		seen := last(c)
+		seen := lastEvent(c)
 		assert.ErrorIs(t, c.Err(), ErrCrashed)
-		_, err := es[0].Start(Request{Call: "d", Prompt: 1, Events: 1})
+		_, err := es[0].Start(Request{CallID: "d", PromptTokens: 1, Events: 1})
 		assert.ErrorIs(t, err, ErrDown)
-		begun := time.Now()
-		d := start(t, es[1], Request{Call: "c", Subject: "other", Prompt: 8000, Events: 100, After: max(seen, 20), From: true})
-		<-d.Begun()
-		assert.Less(t, time.Since(begun), 100*time.Millisecond)
-		assert.Equal(t, 100, last(d))
-		assert.Less(t, es[1].Stats().Read, 200)
-		_, err = es[1].Start(Request{Call: "c", Prompt: 8000, Events: 100, From: true})
-		assert.ErrorIs(t, err, ErrNoCopy)
+		startedAt := time.Now()
+		d := start(t, es[1], Request{CallID: "c", Subject: "other", PromptTokens: 8000, Events: 100, ResumeOffset: max(seen, 20), FromReplica: true})
+		<-d.FirstToken()
+		assert.Less(t, time.Since(startedAt), 100*time.Millisecond)
+		assert.Equal(t, 100, lastEvent(d))
+		assert.Less(t, es[1].Stats().PrefillTokens, 200)
+		_, err = es[1].Start(Request{CallID: "c", PromptTokens: 8000, Events: 100, FromReplica: true})
+		assert.ErrorIs(t, err, ErrNoReplica)
 	})
 }
 
-// When memory runs out the newest of the least urgent runs is stopped and
-// read in again; all of them end.
+// Generations that are preempted when memory runs out are prefilled again and
+// complete.
 func TestPreemption(t *testing.T) {
-	play(t, 1, func(t *testing.T, es []*Engine) {
-		var runs []*Run
+	runEngines(t, 1, func(t *testing.T, es []*Engine) {
+		var generations []*Generation
 		for i := range 10 {
-			runs = append(runs, start(t, es[0], Request{Call: string(rune('a' + i)), Prompt: 8600, Events: 130, Urgency: i / 5}))
+			generations = append(generations, start(t, es[0], Request{CallID: string(rune('a' + i)), PromptTokens: 8600, Events: 130, Rank: i / 5}))
 		}
-		for _, r := range runs {
-			assert.Equal(t, 130, last(r))
+		for _, g := range generations {
+			assert.Equal(t, 130, lastEvent(g))
 		}
-		assert.Positive(t, es[0].Stats().Preempted)
-		assert.Greater(t, es[0].Stats().Read, 10*8600)
+		assert.Positive(t, es[0].Stats().Preemptions)
+		assert.Greater(t, es[0].Stats().PrefillTokens, 10*8600)
 	})
 }
 
-// A stuck engine goes on where it was; a crashed one has forgotten all and is
-// another boot. A run that is stopped ends.
+// A stuck engine resumes its generations after a restart, an unreachable one
+// starts a new boot. A stopped generation ends.
 func TestStates(t *testing.T) {
-	play(t, 1, func(t *testing.T, es []*Engine) {
+	runEngines(t, 1, func(t *testing.T, es []*Engine) {
 		e := es[0]
-		r := start(t, e, Request{Call: "a", Prompt: 800, Events: 50})
-		<-r.Output()
+		g := start(t, e, Request{CallID: "a", PromptTokens: 800, Events: 50})
+		<-g.Output()
 		e.Fail(Stuck)
 		time.Sleep(time.Second)
-		assert.Empty(t, r.Output())
+		assert.Empty(t, g.Output())
 		e.Restart(false)
-		assert.Equal(t, 50, last(r))
+		assert.Equal(t, 50, lastEvent(g))
 		assert.Zero(t, e.Boot())
 
-		r = start(t, e, Request{Call: "b", Prompt: 800, Events: 50})
-		<-r.Output()
-		e.Stop(r)
-		last(r)
-		assert.ErrorIs(t, r.Err(), context.Canceled)
+		g = start(t, e, Request{CallID: "b", PromptTokens: 800, Events: 50})
+		<-g.Output()
+		e.Stop(g)
+		lastEvent(g)
+		assert.ErrorIs(t, g.Err(), context.Canceled)
 
-		e.Fail(Dark)
+		e.Fail(Unreachable)
 		e.Restart(false)
 		assert.Equal(t, 1, e.Boot())
 		assert.Equal(t, Up, e.State())
--- a/emulator/step.go
+++ b/emulator/step.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// begin begins a step: every run in the batch is to make its next token, and
-// one other reads the next chunk of its prompt. It returns how long that
-// takes; 0 means that there is nothing to do.
-func (e *Engine) begin() time.Duration {
+// beginStep starts a step, in which every generation of the batch generates a
+// token and one other prefills the next chunk of its prompt. It returns the
+// step's duration, or 0 if there is nothing to do.
+func (e *Engine) beginStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch = nil
@@ -20,182 +20,184 @@
 	if len(e.running) == 0 {
 		return 0
 	}
-	for _, r := range e.running {
-		if r.toRead == 0 {
-			e.batch = append(e.batch, r)
+	for _, g := range e.running {
+		if g.toPrefill == 0 {
+			e.batch = append(e.batch, g)
 		}
 	}
-	took := e.kind.Step + e.kind.StepMore*time.Duration(len(e.running))
-	if r := e.reader(); r != nil {
-		took += e.read(r)
+	stepTime := e.profile.StepTime + e.profile.StepTimePerRequest*time.Duration(len(e.running))
+	if g := e.nextPrefill(); g != nil {
+		stepTime += e.prefillChunk(g)
 	}
-	return e.slowed(took)
+	return e.scaleDuration(stepTime)
 }
 
-// finish ends a step: the batch has made its tokens.
-func (e *Engine) finish() {
+// finishStep ends a step: the batch generates its tokens.
+func (e *Engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state != Up {
 		return
 	}
-	for _, r := range e.batch {
-		if !r.ended {
-			e.token(r)
+	for _, g := range e.batch {
+		if !g.ended {
+			e.generateToken(g)
 		}
 	}
-	e.makeRoom()
+	e.enforceMemoryLimit()
 }
 
-// reader is the run whose prompt is read next, or nil: the most urgent one.
-func (e *Engine) reader() *Run {
-	var next *Run
-	for _, r := range e.running {
-		if r.toRead > 0 && (next == nil || byUrgency(r, next) < 0) {
-			next = r
+// nextPrefill returns the generation of lowest rank that needs prefill, or nil.
+func (e *Engine) nextPrefill() *Generation {
+	var next *Generation
+	for _, g := range e.running {
+		if g.toPrefill > 0 && (next == nil || compareRank(g, next) < 0) {
+			next = g
 		}
 	}
 	return next
 }
 
-// admit starts waiting runs while there are slots and memory, the most urgent
-// first.
+// admit starts waiting generations in order of rank while slots and memory last.
 func (e *Engine) admit() {
-	slices.SortStableFunc(e.waiting, byUrgency)
-	for len(e.waiting) > 0 && len(e.running) < e.kind.Slots {
-		r := e.waiting[0]
-		found := e.cache.take(r.Subject)
-		if r.held == 0 && found > 0 {
-			found = min(found, r.toRead)
-			r.held, r.toRead = found, r.toRead-found
-			e.stats.Found += found
+	slices.SortStableFunc(e.waiting, compareRank)
+	for len(e.waiting) > 0 && len(e.running) < e.profile.Slots {
+		g := e.waiting[0]
+		cached := e.cache.remove(g.Subject)
+		if g.kvTokens == 0 && cached > 0 {
+			cached = min(cached, g.toPrefill)
+			g.kvTokens, g.toPrefill = cached, g.toPrefill-cached
+			e.stats.CachedTokens += cached
 		}
-		if !e.fits(r) {
+		if !e.tryFit(g) {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.running = append(e.running, r)
+		e.running = append(e.running, g)
 	}
 }
 
-func byUrgency(a, b *Run) int {
-	return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), cmp.Compare(a.order, b.order))
+func compareRank(a, b *Generation) int {
+	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.arrival, b.arrival))
 }
 
-// read has a run read the next chunk of its prompt.
-func (e *Engine) read(r *Run) time.Duration {
-	n := min(e.kind.Chunk, r.toRead)
-	r.toRead -= n
-	r.held += n
-	e.stats.Read += n
-	took := e.kind.Reading(n)
-	if r.toRead == 0 {
-		took += e.kind.FirstToken
+// prefillChunk processes the next chunk of a prompt and returns the time that
+// it takes.
+func (e *Engine) prefillChunk(g *Generation) time.Duration {
+	n := min(e.profile.PrefillChunk, g.toPrefill)
+	g.toPrefill -= n
+	g.kvTokens += n
+	e.stats.PrefillTokens += n
+	took := e.profile.PrefillTime(n)
+	if g.toPrefill == 0 {
+		took += e.profile.FirstTokenDelay
 	}
 	return took
 }
 
-// token has a run make its next token.
-func (e *Engine) token(r *Run) {
+// generateToken generates the next token, and the event that it completes.
+func (e *Engine) generateToken(g *Generation) {
 	select {
-	case <-r.begun:
+	case <-g.firstToken:
 	default:
-		close(r.begun)
+		close(g.firstToken)
 	}
-	if r.Deadly {
+	if g.Poison {
 		return
 	}
 	now := time.Now()
-	r.made++
-	r.held++
-	e.backup(r, now)
-	if r.made%e.kind.Stride == 0 {
-		r.events <- Made{N: r.made / e.kind.Stride, At: now}
-	}
-	if r.made >= r.Events*e.kind.Stride {
-		r.end(nil)
-		e.drop(r)
-		e.cache.put(r.Subject, r.held)
-		if r.Backup != nil {
-			r.Backup.freeCopy(r.Call)
+	g.generated++
+	g.kvTokens++
+	e.replicate(g, now)
+	if g.generated%e.profile.TokensPerEvent == 0 {
+		g.events <- Event{ID: g.generated / e.profile.TokensPerEvent, GeneratedAt: now}
+	}
+	if g.generated >= g.Events*e.profile.TokensPerEvent {
+		g.end(nil)
+		e.remove(g)
+		e.cache.add(g.Subject, g.kvTokens)
+		if g.ReplicaTarget != nil {
+			g.ReplicaTarget.dropReplica(g.CallID)
 		}
 	}
 }
 
-// backup sends the next part of a run's growing copy. Engines are locked one
-// at a time: the copy is handed over by another goroutine.
-func (e *Engine) backup(r *Run, now time.Time) {
-	if r.Backup == nil || now.Sub(r.copied) < copyEvery {
+// replicate updates the generation's replica once per replicaInterval. A
+// goroutine delivers the update, so that no two engines are locked at once.
+func (e *Engine) replicate(g *Generation, now time.Time) {
+	if g.ReplicaTarget == nil || now.Sub(g.replicatedAt) < replicaInterval {
 		return
 	}
-	r.copied = now
-	to, call, tokens := r.Backup, r.Call, r.held
-	go func() { to.keepCopy(call, tokens, now) }()
+	g.replicatedAt = now
+	to, callID, tokens := g.ReplicaTarget, g.CallID, g.kvTokens
+	go func() { to.storeReplica(callID, tokens, now) }()
 }
 
-// keepCopy takes a part of a growing copy, while there is room.
-func (e *Engine) keepCopy(call string, tokens int, at time.Time) {
+// storeReplica stores an update of a replica if there is room.
+func (e *Engine) storeReplica(callID string, tokens int, at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	old, known := e.copies[call]
-	if e.state != Up || e.used()+tokens-old.tokens > e.kind.Memory || known && tokens <= old.tokens {
+	old, exists := e.replicas[callID]
+	if e.state != Up || e.reservedTokens()+tokens-old.tokens > e.profile.MemoryTokens || exists && tokens <= old.tokens {
 		return
 	}
-	e.stats.Copied += tokens - old.tokens
-	e.copies[call] = copied{tokens: tokens, at: at}
+	e.stats.ReplicatedTokens += tokens - old.tokens
+	e.replicas[callID] = replica{tokens: tokens, updatedAt: at}
 }
 
-// freeCopy drops a copy that is not needed any more, from another engine's
-// step.
-func (e *Engine) freeCopy(call string) {
+// dropReplica drops a replica that is not needed any more. A goroutine does it,
+// as the caller holds the lock of another engine.
+func (e *Engine) dropReplica(callID string) {
 	go func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.copies, call)
+		delete(e.replicas, callID)
 	}()
 }
 
-// drop takes a run out of the batch or the queue.
-func (e *Engine) drop(r *Run) {
-	is := func(o *Run) bool { return o == r }
-	e.running = slices.DeleteFunc(e.running, is)
-	e.waiting = slices.DeleteFunc(e.waiting, is)
+// remove removes a generation from the running and the waiting ones.
+func (e *Engine) remove(g *Generation) {
+	isSame := func(o *Generation) bool { return o == g }
+	e.running = slices.DeleteFunc(e.running, isSame)
+	e.waiting = slices.DeleteFunc(e.waiting, isSame)
 }
 
-// used is the memory that cannot yield, in tokens.
-func (e *Engine) used() int {
+// reservedTokens returns the tokens that running generations and replicas need;
+// these can't be evicted. It drops expired replicas.
+func (e *Engine) reservedTokens() int {
 	n := 0
-	for _, r := range e.running {
-		n += r.held + r.toRead
+	for _, g := range e.running {
+		n += g.kvTokens + g.toPrefill
 	}
-	for call, c := range e.copies {
-		if time.Since(c.at) > CopyExpiry {
-			delete(e.copies, call)
+	for callID, r := range e.replicas {
+		if time.Since(r.updatedAt) > ReplicaExpiry {
+			delete(e.replicas, callID)
 			continue
 		}
-		n += c.tokens
+		n += r.tokens
 	}
 	return n
 }
 
-// fits has cached prompts yield to a run, and reports whether it finds room.
-func (e *Engine) fits(r *Run) bool {
-	left := e.kind.Memory - e.used() - r.held - r.toRead
-	e.cache.shrink(left)
-	return left >= 0 || len(e.running) == 0
+// tryFit evicts cached prompts to make room for a generation, and reports
+// whether it fits. A generation that would run alone always does.
+func (e *Engine) tryFit(g *Generation) bool {
+	free := e.profile.MemoryTokens - e.reservedTokens() - g.kvTokens - g.toPrefill
+	e.cache.evict(free)
+	return free >= 0 || len(e.running) == 0
 }
 
-// makeRoom has cached prompts yield to the runs, and, where these have
-// outgrown the memory, stops the newest of the least urgent ones.
-func (e *Engine) makeRoom() {
-	used := e.used()
-	for used > e.kind.Memory && len(e.running) > 1 {
-		r := slices.MaxFunc(e.running, byUrgency)
-		used -= r.held + r.toRead
-		e.drop(r)
-		r.toRead, r.held = r.held+r.toRead, 0
-		e.waiting = append(e.waiting, r)
-		e.stats.Preempted++
-	}
-	e.cache.shrink(e.kind.Memory - used)
+// enforceMemoryLimit preempts the newest generations of the highest rank while
+// the running ones exceed the memory, then evicts cached prompts.
+func (e *Engine) enforceMemoryLimit() {
+	used := e.reservedTokens()
+	for used > e.profile.MemoryTokens && len(e.running) > 1 {
+		g := slices.MaxFunc(e.running, compareRank)
+		used -= g.kvTokens + g.toPrefill
+		e.remove(g)
+		g.toPrefill, g.kvTokens = g.kvTokens+g.toPrefill, 0
+		e.waiting = append(e.waiting, g)
+		e.stats.Preemptions++
+	}
+	e.cache.evict(e.profile.MemoryTokens - used)
 }
--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -105,7 +105,7 @@
 	in := c.play.anyEntry()
 	a := &answer{c: c}
 	call := &ingress.Call{ID: fmt.Sprintf("%s-%d", c.id, n), Method: http.MethodPost, Host: host, Path: path, Header: http.Header{},
-		Patience: patience, Prompt: c.prompt, Output: c.events * c.play.load.kind().Stride * 4 / 3,
+		Patience: patience, Prompt: c.prompt, Output: c.events * c.play.load.kind().TokensPerEvent * 4 / 3,
 		Body: emulator.Body(c.events, c.id), Subject: c.id, Received: clock.Now()}
 	c.mu.Lock()
 	c.reset = cancel
--- a/experiment/deadly.go
+++ b/experiment/deadly.go
@@ -74,8 +74,8 @@
 func (p *play) tryDeadly(ctx context.Context, n int) {
 	for try := range maxTries {
 		call := &ingress.Call{ID: fmt.Sprintf("%s-%d-%d", deadlyName, n, try), Method: http.MethodPost, Host: host, Path: path, Header: http.Header{},
-			Patience: patience, Prompt: deadlyPrompt, Output: deadlyEvents * p.load.kind().Stride, Subject: deadlyName,
-			Body: emulator.DeadlyBody(deadlyEvents, deadlyName), Received: clock.Now()}
+			Patience: patience, Prompt: deadlyPrompt, Output: deadlyEvents * p.load.kind().TokensPerEvent, Subject: deadlyName,
+			Body: emulator.PoisonBody(deadlyEvents, deadlyName), Received: clock.Now()}
 		w := &answer{c: &caller{}}
 		in := p.anyEntry()
 		tctx, cancel := context.WithCancel(ctx)
@@ -90,7 +90,7 @@
 }
 
 // crash has an engine crash, and start again after a while.
-func (p *play) crash(place *emulator.Place) {
+func (p *play) crash(place *emulator.Node) {
 	if place.State() != emulator.Up {
 		return
 	}
--- a/experiment/entry.go
+++ b/experiment/entry.go
@@ -62,7 +62,7 @@
 	book := desired.NewBook(desired.Ages{Deny: time.Hour, Key: time.Hour})
 	book.Apply(p.state)
 	book.Proved(clock.Now())
-	for _, place := range p.cluster.Places() {
+	for _, place := range p.cluster.Nodes() {
 		in.targets.Put(p.cluster.Target(place), 0)
 	}
 	in.crashes.Dry = p.variant.NoVerdicts
@@ -77,10 +77,10 @@
 }
 
 // desiredState is that of a play: one route to the engines.
-func desiredState(copies bool, kind emulator.Kind) (*ragworthitch.DesiredState, error) {
+func desiredState(copies bool, kind emulator.Profile) (*ragworthitch.DesiredState, error) {
 	return ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: 1,
 		Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: serviceName,
-			Engine: &ragworthitch.Engine{Slots: kind.Slots, KVTokens: kind.Memory, Backups: copies, Stride: kind.Stride, CopyExpiry: emulator.CopyExpiry}})},
+			Engine: &ragworthitch.Engine{Slots: kind.Slots, KVTokens: kind.MemoryTokens, Backups: copies, Stride: kind.TokensPerEvent, CopyExpiry: emulator.ReplicaExpiry}})},
 		Routes: []ragworthitch.Route{ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "plans", Host: host, Prefix: path,
 			Kind: ragworthitch.CallStream, Timeout: patience, Target: firstAim, GapTarget: pauseAim, MaxTargets: maxTargets, Resumable: true,
 			Shares: []ragworthitch.Share{{Service: serviceName, Weight: 1}}})}})
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -101,7 +101,7 @@
 		return fmt.Errorf("%w: %q needs entries, engines, zones and seconds", ErrBadLoad, l.Name)
 	case l.Engine != nil && (l.Engine.StepUs < 1 || l.Engine.ReadPerMs <= 0 || l.Engine.Chunk < 1 || l.Engine.Slots < 1 || l.Engine.Stride < 1):
 		return fmt.Errorf("%w: %q: engines need stepUs, readPerMs, chunk, slots and stride", ErrBadLoad, l.Name)
-	case l.Prompt < 1 || l.Prompt > l.kind().Memory/2:
+	case l.Prompt < 1 || l.Prompt > l.kind().MemoryTokens/2:
 		return fmt.Errorf("%w: %q: prompt is %d tokens, at most half of an engine's memory is possible", ErrBadLoad, l.Name, l.Prompt)
 	case l.Events < 1 || l.PerSec <= 0:
 		return fmt.Errorf("%w: %q needs events and perSecond", ErrBadLoad, l.Name)
@@ -126,13 +126,13 @@
 }
 
 // kind is the kind of the load's engines.
-func (l *Load) kind() emulator.Kind {
+func (l *Load) kind() emulator.Profile {
 	if l.Engine == nil {
-		return emulator.Usual()
+		return emulator.DefaultProfile()
 	}
 	e := l.Engine
-	return emulator.Kind{Step: time.Duration(e.StepUs) * time.Microsecond, StepMore: time.Duration(e.StepMoreUs) * time.Microsecond,
-		FirstToken: time.Duration(e.FirstMs) * time.Millisecond, ReadPerMs: e.ReadPerMs, Chunk: e.Chunk, Slots: e.Slots, Memory: e.Memory, Stride: e.Stride}
+	return emulator.Profile{StepTime: time.Duration(e.StepUs) * time.Microsecond, StepTimePerRequest: time.Duration(e.StepMoreUs) * time.Microsecond,
+		FirstTokenDelay: time.Duration(e.FirstMs) * time.Millisecond, PrefillTokensPerMs: e.ReadPerMs, PrefillChunk: e.Chunk, Slots: e.Slots, MemoryTokens: e.Memory, TokensPerEvent: e.Stride}
 }
 
 // speed is how many times as long the load's nth engine takes.
--- a/experiment/offline.go
+++ b/experiment/offline.go
@@ -59,7 +59,7 @@
 func (s schedule) end(callers []*caller) time.Duration {
 	at := time.Duration(0)
 	for _, c := range callers {
-		at = s.read(max(at, c.at), s.load.kind().Reading(c.prompt))
+		at = s.read(max(at, c.at), s.load.kind().PrefillTime(c.prompt))
 	}
 	return at
 }
--- a/experiment/play.go
+++ b/experiment/play.go
@@ -44,19 +44,19 @@
 	p := &play{load: l, variant: v, state: state, cluster: emulator.NewCluster(serviceName, l.Engines, l.Zones, l.kind()), begun: time.Now(),
 		rng: rand.New(rand.NewPCG(l.Seed, 2))}
 	for n, place := range p.places() {
-		place.Slow(l.speed(n))
+		place.SetSlowdown(l.speed(n))
 	}
 	if slices.ContainsFunc(l.Faults, func(f Fault) bool { return f.SameID }) {
-		p.cluster.TellStarts()
+		p.cluster.ReportStartTimes()
 	}
-	p.cluster.Crashed = p.crash
+	p.cluster.OnCrash = p.crash
 	for i := range l.Entries {
 		p.entries = append(p.entries, newInstance(p, fmt.Sprint("entry-", i), l.Zones[i%len(l.Zones)]))
 	}
 	p.callers = p.draw(rand.New(rand.NewPCG(l.Seed, 1)))
 	life, stop := context.WithCancel(ctx)
 	var group, callers conc.WaitGroup
-	for _, place := range p.cluster.Places() {
+	for _, place := range p.cluster.Nodes() {
 		group.Go(func() { place.Run(life) })
 	}
 	for i := range l.Entries {
@@ -152,13 +152,13 @@
 			}
 		}
 	case FaultLossy:
-		p.cluster.Lose(f.Zone, f.Share)
+		p.cluster.SetPacketLoss(f.Zone, f.Share)
 		clock.Sleep(ctx, time.Duration(f.ForMs)*time.Millisecond)
-		p.cluster.Lose(f.Zone, 0)
+		p.cluster.SetPacketLoss(f.Zone, 0)
 	case FaultDown:
 		p.failZone(ctx, f, emulator.Down)
 	case FaultDark:
-		p.failZone(ctx, f, emulator.Dark)
+		p.failZone(ctx, f, emulator.Unreachable)
 	case FaultStuck:
 		p.failZone(ctx, f, emulator.Stuck)
 	case FaultSlow:
@@ -175,8 +175,8 @@
 }
 
 // places are the cluster's engines in the order of their addresses.
-func (p *play) places() []*emulator.Place {
-	return slices.SortedFunc(maps.Values(p.cluster.Places()), func(a, b *emulator.Place) int { return cmp.Compare(a.Addr, b.Addr) })
+func (p *play) places() []*emulator.Node {
+	return slices.SortedFunc(maps.Values(p.cluster.Nodes()), func(a, b *emulator.Node) int { return cmp.Compare(a.Addr, b.Addr) })
 }
 
 // slow has engines take longer for a while: the first ones of a share, the
@@ -187,12 +187,12 @@
 	for n, place := range places {
 		if f.strikes(n, len(places)) && (f.Zone == "" || place.Zone == f.Zone) {
 			struck = append(struck, n)
-			place.Slow(f.Factor * p.load.speed(n))
+			place.SetSlowdown(f.Factor * p.load.speed(n))
 		}
 	}
 	clock.Sleep(ctx, time.Duration(f.ForMs)*time.Millisecond)
 	for _, n := range struck {
-		places[n].Slow(p.load.speed(n))
+		places[n].SetSlowdown(p.load.speed(n))
 	}
 }
 
@@ -202,8 +202,8 @@
 // failZone has engines of a zone fail for a while. The entries learn of a new
 // boot some time after it.
 func (p *play) failZone(ctx context.Context, f Fault, s emulator.State) {
-	var struck []*emulator.Place
-	for _, place := range p.cluster.Places() {
+	var struck []*emulator.Node
+	for _, place := range p.cluster.Nodes() {
 		if place.Zone == f.Zone && p.chosen(f.Share) {
 			struck = append(struck, place)
 			place.Fail(s)
@@ -224,7 +224,7 @@
 }
 
 // announce has all entries know of a place's present boot.
-func (p *play) announce(place *emulator.Place) {
+func (p *play) announce(place *emulator.Node) {
 	for _, in := range p.all() {
 		in.targets.Put(p.cluster.Target(place), 0)
 	}
--- a/experiment/result.go
+++ b/experiment/result.go
@@ -92,11 +92,11 @@
 	r.Second, r.Worst = shares(r.begun, r.good)
 	r.First, r.Pause = percentiles(r.first), percentiles(r.pause)
 	read := 0
-	for _, place := range p.cluster.Places() {
+	for _, place := range p.cluster.Nodes() {
 		s := place.Stats()
-		read += s.Read
-		r.Copied += s.Copied
-		r.Preempted += s.Preempted
+		read += s.PrefillTokens
+		r.Copied += s.ReplicatedTokens
+		r.Preempted += s.Preemptions
 	}
 	r.ReadAgain = max(0, read-p.asked())
 	r.Crashed, r.LateSends = p.deadly.result()
--- a/experiment/variant.go
+++ b/experiment/variant.go
@@ -80,9 +80,9 @@
 
 // usualSpeeds are those of the usual kind of engine, written in.
 func usualSpeeds() *pace.Pace {
-	k := emulator.Usual()
-	gap := time.Duration(k.Stride) * (k.Step + k.StepMore)
-	return &pace.Pace{Gap: gap, Ratio: float64(time.Millisecond) / k.ReadPerMs / float64(gap), Prompt: 8000, Whole: gap, Length: 0.75}
+	k := emulator.DefaultProfile()
+	gap := time.Duration(k.TokensPerEvent) * (k.StepTime + k.StepTimePerRequest)
+	return &pace.Pace{Gap: gap, Ratio: float64(time.Millisecond) / k.PrefillTokensPerMs / float64(gap), Prompt: 8000, Whole: gap, Length: 0.75}
 }
 
 // VariantByName finds a variant. The error names those there are.
