--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -13,138 +13,140 @@
 	"github.com/ragworthitch/ragworthitch/ingress"
 )
 
-// maxTries is how often a caller sends its call: once more after a refusal or
-// a broken answer.
-const maxTries = 2
+// maxSends is the most times a caller sends its call: once more after a
+// rejection or an incomplete answer.
+const maxSends = 2
 
 type (
-	// caller is one caller with its call.
+	// caller is a caller of one stream, with its measures.
 	caller struct {
-		play   *play
-		id     string
-		at     time.Duration // when it comes, from the play's start
-		prompt int
-		events int
+		sim          *simulation
+		id           string
+		arrival      time.Duration // since the start of the simulation
+		promptTokens int
+		events       int
 
-		mu     sync.Mutex
-		first  time.Duration // to the first event; 0: none yet
-		last   time.Time     // of the last event
-		pause  time.Duration // the longest between two events
-		delay  time.Duration // the longest from an event's making to the caller
-		got    int
-		whole  bool
-		reset  context.CancelFunc // breaks its connection
-		asked  time.Time
-		resets int
+		mu              sync.Mutex
+		timeToFirst     time.Duration
+		lastEventAt     time.Time
+		longestInterval time.Duration // longest event interval
+		longestDelay    time.Duration // longest from the engine's generating an event to its receipt
+		received        int           // events
+		complete        bool
+		cancelRequest   context.CancelFunc // nil: no connection is open
+		sentAt          time.Time
+		resets          int
 	}
 
-	// answer takes the answer to one try of a caller.
-	answer struct {
+	// responseWriter records the answer to one send of a call.
+	responseWriter struct {
 		c      *caller
 		header http.Header
 		status int
 	}
 )
 
-// Header is the answer's header.
-func (a *answer) Header() http.Header {
-	if a.header == nil {
-		a.header = http.Header{}
+// Header returns the answer's header.
+func (w *responseWriter) Header() http.Header {
+	if w.header == nil {
+		w.header = http.Header{}
 	}
-	return a.header
+	return w.header
 }
 
-// WriteHeader takes the answer's status.
-func (a *answer) WriteHeader(status int) { a.status = status }
+// WriteHeader records the answer's status.
+func (w *responseWriter) WriteHeader(status int) { w.status = status }
 
-// Write takes one event.
-func (a *answer) Write(b []byte) (int, error) {
-	c := a.c
+// Write records the receipt of an event. Its text is the time when the engine
+// generated it.
+func (w *responseWriter) Write(body []byte) (int, error) {
+	c := w.c
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.got == 0 {
-		c.first = now.Sub(c.asked)
+	if c.received == 0 {
+		c.timeToFirst = now.Sub(c.sentAt)
 	} else {
-		c.pause = max(c.pause, now.Sub(c.last))
+		c.longestInterval = max(c.longestInterval, now.Sub(c.lastEventAt))
 	}
-	c.got++
-	c.last = now
-	made, err := time.Parse(time.RFC3339Nano, string(b))
+	c.received++
+	c.lastEventAt = now
+	generatedAt, err := time.Parse(time.RFC3339Nano, string(body))
 	if err != nil {
 		return 0, err
 	}
-	c.delay = max(c.delay, now.Sub(made))
-	return len(b), nil
+	c.longestDelay = max(c.longestDelay, now.Sub(generatedAt))
+	return len(body), nil
 }
 
-// FlushError does nothing.
-func (a *answer) FlushError() error { return nil }
+// FlushError does nothing: Write doesn't buffer.
+func (w *responseWriter) FlushError() error { return nil }
 
-// run sends the call, and once more where that may help.
-func (c *caller) run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// call sends the caller's call, at most maxSends times.
+func (c *caller) call(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	c.asked = time.Now()
-	for try := range maxTries {
-		status, retry := c.try(ctx, try)
-		if c.complete() || ctx.Err() != nil {
+	c.sentAt = time.Now()
+	for index := range maxSends {
+		status, retryAfter := c.send(ctx, index)
+		if c.isComplete() || ctx.Err() != nil {
 			return
 		}
 		if status == http.StatusServiceUnavailable {
 			deadline, _ := ctx.Deadline()
-			clock.Sleep(ctx, min(retry, time.Until(deadline)/3))
+			clock.Sleep(ctx, min(retryAfter, time.Until(deadline)/3))
 		}
 	}
 }
 
-// try sends the call once to some entry.
-func (c *caller) try(ctx context.Context, n int) (status int, retry time.Duration) {
+// send sends the call to an entry instance, resuming after the last received
+// event.
+func (c *caller) send(ctx context.Context, index int) (status int, retryAfter time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	in := c.play.anyEntry()
-	a := &answer{c: c}
-	call := &ingress.Call{ID: fmt.Sprintf("%s-%d", c.id, n), Method: http.MethodPost, Host: host, Path: path, Header: http.Header{},
-		Patience: patience, Prompt: c.prompt, Output: c.events * c.play.load.kind().TokensPerEvent * 4 / 3,
+	entry := c.sim.randomEntry()
+	w := &responseWriter{c: c}
+	call := &ingress.Call{ID: fmt.Sprintf("%s-%d", c.id, index), Method: http.MethodPost, Host: host, Path: path, Header: http.Header{},
+		Patience: callTimeout, Prompt: c.promptTokens, Output: c.events * c.sim.workload.profile().TokensPerEvent * 4 / 3,
 		Body: emulator.Body(c.events, c.id), Subject: c.id, Received: clock.Now()}
 	c.mu.Lock()
-	c.reset = cancel
-	if c.got > 0 {
-		call.After = strconv.Itoa(c.got)
+	c.cancelRequest = cancel
+	if c.received > 0 {
+		call.After = strconv.Itoa(c.received)
 	}
 	c.mu.Unlock()
-	whole := in.handler.ServeWhole(ctx, a, call)
+	complete := entry.handler.ServeWhole(ctx, w, call)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reset = nil
-	c.whole = whole && a.status == http.StatusOK
-	seconds, err := strconv.ParseFloat(a.Header().Get("Retry-After"), 64)
+	c.cancelRequest = nil
+	c.complete = complete && w.status == http.StatusOK
+	seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 	if err != nil {
-		seconds = 0 // none was sent
+		seconds = 0 // the header is missing
 	}
-	return a.status, time.Duration(seconds * float64(time.Second))
+	return w.status, time.Duration(seconds * float64(time.Second))
 }
 
-func (c *caller) complete() bool {
+func (c *caller) isComplete() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.whole
+	return c.complete
 }
 
-// breakOff resets the caller's connection, if it has one.
-func (c *caller) breakOff() {
+// resetConnection resets the caller's connection if one is open.
+func (c *caller) resetConnection() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reset != nil {
+	if c.cancelRequest != nil {
 		c.resets++
-		c.reset()
+		c.cancelRequest()
 	}
 }
 
-// onTime reports whether the answer was whole, began in time, did not pause
-// for too long, and had its events passed on at once.
-func (c *caller) onTime() bool {
+// meetsObjectives reports whether the answer is complete and its time to first
+// event, event intervals and forwarding delays met their objectives.
+func (c *caller) meetsObjectives() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.whole && c.first <= firstAim && c.pause <= pauseAim && c.delay <= passAim
+	return c.complete && c.timeToFirst <= firstEventObjective && c.longestInterval <= eventIntervalObjective && c.longestDelay <= forwardingObjective
 }
--- /dev/null
+++ b/experiment/instance.go
@@ -0,0 +1,128 @@
+package experiment
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"github.com/ragworthitch/ragworthitch"
+	"github.com/ragworthitch/ragworthitch/budget"
+	"github.com/ragworthitch/ragworthitch/clock"
+	"github.com/ragworthitch/ragworthitch/desired"
+	"github.com/ragworthitch/ragworthitch/emulator"
+	"github.com/ragworthitch/ragworthitch/ingress"
+	"github.com/ragworthitch/ragworthitch/poison"
+	"github.com/ragworthitch/ragworthitch/recall"
+	"github.com/ragworthitch/ragworthitch/registry"
+)
+
+const (
+	serviceName = "llm"
+	host        = "plans.example"
+	path        = "/plan/"
+
+	reportDelay    = 10 * time.Millisecond // from a change of an instance's load to its report to the peers
+	reportInterval = 50 * time.Millisecond // between reports if the load doesn't change
+	discoveryDelay = time.Second           // from an engine's restart until the entry instances know its new boot
+
+	// Limits of the route.
+	callTimeout            = 25 * time.Second
+	firstEventObjective    = 4500 * time.Millisecond
+	eventIntervalObjective = 700 * time.Millisecond
+	forwardingObjective    = 120 * time.Millisecond // from the engine's generating an event to the caller
+	maxTargets             = 5
+)
+
+// retryLimit is the retry budget that all entry instances share.
+var retryLimit = budget.Limit{Ratio: 0.8, Extra: 150, Span: 10 * time.Second}
+
+// instance is an entry instance.
+type instance struct {
+	name          string
+	sim           *simulation
+	targets       registry.Registry
+	locations     recall.Recall
+	locationsSent uint64 // own cache locations reported to the peers
+	crashes       poison.Book
+	crashesSent   uint64 // known crashes reported to the peers
+	handler       *ingress.Handler
+	ctx           context.Context // ends when the instance is killed
+	cancel        context.CancelFunc
+}
+
+func newInstance(s *simulation, name, zone string) *instance {
+	in := &instance{name: name, sim: s}
+	in.ctx, in.cancel = context.WithCancel(context.Background())
+	states := desired.NewBook(desired.Ages{Deny: time.Hour, Key: time.Hour})
+	states.Apply(s.state)
+	states.Proved(clock.Now())
+	for _, node := range s.cluster.Nodes() {
+		in.targets.Put(s.cluster.Target(node), 0)
+	}
+	in.crashes.Dry = s.variant.NoQuarantine
+	cfg := ingress.Config{Zone: zone, Book: states, Targets: &in.targets, Recall: &in.locations, Budget: budget.New(retryLimit, s.countEntries),
+		Sender: recordingSender{emulator.Sender{Cluster: s.cluster, Zone: zone}, s}, Engines: s.variant.Engines, Speeds: s.variant.FixedPace,
+		Crashes: &in.crashes, Claim: in.claim, Log: zerolog.Nop()}
+	if !s.variant.NoReports {
+		cfg.Tell = in.scheduleReport
+	}
+	in.handler = ingress.New(cfg)
+	return in
+}
+
+// desiredState returns a state with one service, the engines, and a route to it.
+func desiredState(replicas bool, profile emulator.Profile) (*ragworthitch.DesiredState, error) {
+	return ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: 1,
+		Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: serviceName,
+			Engine: &ragworthitch.Engine{Slots: profile.Slots, KVTokens: profile.MemoryTokens, Backups: replicas, Stride: profile.TokensPerEvent, CopyExpiry: emulator.ReplicaExpiry}})},
+		Routes: []ragworthitch.Route{ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "plans", Host: host, Prefix: path,
+			Kind: ragworthitch.CallStream, Timeout: callTimeout, Target: firstEventObjective, GapTarget: eventIntervalObjective, MaxTargets: maxTargets, Resumable: true,
+			Shares: []ragworthitch.Share{{Service: serviceName, Weight: 1}}})}})
+}
+
+// scheduleReport sends a report to the peers after reportDelay.
+func (in *instance) scheduleReport() { time.AfterFunc(reportDelay, in.report) }
+
+// report sends the peers the instance's load and event intervals at each
+// target, its new cache locations and the crashes that it knows.
+func (in *instance) report() {
+	s := in.sim
+	s.mu.Lock()
+	locations, n := in.locations.Since(in.locationsSent)
+	in.locationsSent = n
+	crashes, n := in.crashes.Since(in.crashesSent)
+	in.crashesSent = n
+	s.mu.Unlock()
+	s.store.save(&in.crashes)
+	for _, peer := range s.allEntries() {
+		if peer == in {
+			continue
+		}
+		for _, crash := range crashes {
+			peer.crashes.Died(crash, poison.SourcePeer, clock.Now())
+		}
+		for _, m := range in.targets.All() {
+			if member := peer.targets.Boot(m.Target().Boot()); member != nil {
+				member.Work().SetOther(in.name, m.Work().Own())
+				member.Pace().Heard(in.name, m.Pace().Own(clock.Now()), clock.Now())
+			}
+		}
+		for _, location := range locations {
+			peer.locations.Heard(location, clock.Now())
+		}
+	}
+}
+
+// reportPeriodically sends reports of the nth entry instance until ctx ends.
+func (sim *simulation) reportPeriodically(ctx context.Context, n int) {
+	for !sim.variant.NoReports && clock.Sleep(ctx, reportInterval) {
+		sim.allEntries()[n].report()
+	}
+}
+
+// jitter draws from the uniform distribution over mean ± share*mean.
+func jitter(rng *rand.Rand, mean int, share float64) int {
+	return int(float64(mean) * (1 + share*(2*rng.Float64()-1)))
+}
--- a/experiment/offline.go
+++ b/experiment/offline.go
@@ -6,110 +6,112 @@
 	"time"
 )
 
-// Offline is the share of a load's streams that a scheduler which knows all of
-// them beforehand, and all that befalls the engines, could have begun in time:
-// each prompt is read at one engine, one after the other there, and streams
-// that would be late are left out from the start. It is optimistic: an answer
-// costs it nothing, engines do not crash in the middle of one, and the pauses
-// of streams beside a reading don't count. It is for comparing what the product
-// serves when more comes than can be served.
-func Offline(l Load, draws int) float64 {
-	begun, all := 0, 0
+// OfflineShare returns the share of a workload's streams whose first event an
+// offline scheduler, which knows all callers and slowdowns in advance, sends in
+// time. It is a yardstick for overload. Each engine prefills one prompt after
+// the other, and streams that would be late are dropped before their prefill.
+// The scheduler is optimistic: generating tokens takes no time, engines don't
+// crash, and event intervals are unlimited.
+func OfflineShare(w Workload, draws int) float64 {
+	inTime, total := 0, 0
 	for range draws {
-		l.Seed++
-		n, of := offline(l)
-		begun, all = begun+n, all+of
+		w.Seed++
+		drawInTime, drawTotal := scheduleOffline(w)
+		inTime, total = inTime+drawInTime, total+drawTotal
 	}
-	return float64(begun) / float64(all)
+	return float64(inTime) / float64(total)
 }
 
-// offline schedules one draw. All streams have the same time to begin, so the
-// order of arrival is that of deadlines, and the engine that reads a prompt
-// first is the one to take; when a stream would be late, the longest prompt
-// that is not being read yet at that engine is left out, as in Moore's and
-// Hodgson's algorithm for one machine.
-func offline(l Load) (begun, all int) {
-	p := &play{load: l}
-	callers := p.draw(rand.New(rand.NewPCG(l.Seed, 1)))
-	engines := make([]schedule, l.Engines)
+// scheduleOffline schedules the callers of one draw. All have the same objective
+// for the first event, so they are in order of their deadlines. Each goes to the
+// engine that would end its prefill first. If it would be late, the longest
+// prompt at that engine whose prefill has not started is dropped, as in the
+// Moore-Hodgson algorithm for a single machine.
+func scheduleOffline(w Workload) (inTime, total int) {
+	sim := &simulation{workload: w}
+	callers := sim.drawCallers(rand.New(rand.NewPCG(w.Seed, 1)))
+	engines := make([]engineSchedule, w.Engines)
 	for n := range engines {
-		engines[n] = schedule{load: &l, n: n}
+		engines[n] = engineSchedule{workload: &w, n: n}
 	}
 	for _, c := range callers {
-		best := slices.MinFunc(engines, func(a, b schedule) int { return int(a.with(c) - b.with(c)) })
-		engines[best.n].take(c)
+		best := slices.MinFunc(engines, func(a, b engineSchedule) int { return int(a.endWith(c) - b.endWith(c)) })
+		engines[best.n].add(c)
 	}
 	for _, e := range engines {
-		begun += len(e.taken)
+		inTime += len(e.callers)
 	}
-	return begun, len(callers)
+	return inTime, len(callers)
 }
 
-// schedule is what one engine reads, in order.
-type schedule struct {
-	load  *Load
-	n     int
-	taken []*caller
+// engineSchedule holds the callers whose prompts an engine prefills, in order.
+type engineSchedule struct {
+	workload *Workload
+	n        int
+	callers  []*caller
 }
 
-// with is when the engine would have read a caller's prompt after the others.
-func (s schedule) with(c *caller) time.Duration { return s.end(append(slices.Clone(s.taken), c)) }
+// endWith returns when the prefill of a caller's prompt would end after the
+// scheduled ones.
+func (s engineSchedule) endWith(c *caller) time.Duration {
+	return s.end(append(slices.Clone(s.callers), c))
+}
 
-// end is when the engine has read all the callers' prompts.
-func (s schedule) end(callers []*caller) time.Duration {
+// end returns when the prefill of all the callers' prompts ends.
+func (s engineSchedule) end(callers []*caller) time.Duration {
 	at := time.Duration(0)
 	for _, c := range callers {
-		at = s.read(max(at, c.at), s.load.kind().PrefillTime(c.prompt))
+		at = s.prefillEnd(max(at, c.arrival), s.workload.profile().PrefillTime(c.promptTokens))
 	}
 	return at
 }
 
-// read is when a reading ends that takes so long at full speed.
-func (s schedule) read(from, work time.Duration) time.Duration {
+// prefillEnd returns when a prefill ends that takes fullSpeed without slowdown.
+func (s engineSchedule) prefillEnd(from, fullSpeed time.Duration) time.Duration {
 	const tick = 20 * time.Millisecond
-	for work > 0 {
-		work -= time.Duration(float64(tick) / s.slow(from))
+	for fullSpeed > 0 {
+		fullSpeed -= time.Duration(float64(tick) / s.slowdownAt(from))
 		from += tick
 	}
 	return from
 }
 
-// slow is how many times as long the engine takes at a time.
-func (s schedule) slow(at time.Duration) float64 {
-	times := s.load.speed(s.n)
-	for _, f := range s.load.Faults {
+// slowdownAt returns the factor on the engine's durations at a time.
+func (s engineSchedule) slowdownAt(at time.Duration) float64 {
+	factor := s.workload.slowdown(s.n)
+	for _, f := range s.workload.Faults {
 		from := time.Duration(f.AtMs) * time.Millisecond
-		if f.Kind == FaultSlow && f.strikes(s.n, s.load.Engines) && at >= from && at < from+time.Duration(f.ForMs)*time.Millisecond {
-			times *= f.Factor
+		if f.Kind == FaultSlow && f.affects(s.n, s.workload.Engines) && at >= from && at < from+time.Duration(f.ForMs)*time.Millisecond {
+			factor *= f.Factor
 		}
 	}
-	return times
+	return factor
 }
 
-// take adds a caller, and leaves the longest prompt out if the caller's would
-// be late.
-func (s *schedule) take(c *caller) {
-	s.taken = append(s.taken, c)
-	if s.end(s.taken)-c.at <= firstAim {
+// add schedules a caller; if that caller would be late, it drops the longest
+// prompt whose prefill has not started.
+func (s *engineSchedule) add(c *caller) {
+	s.callers = append(s.callers, c)
+	if s.end(s.callers)-c.arrival <= firstEventObjective {
 		return
 	}
-	waits := s.waiting(c.at)
-	longest := waits
-	for i := waits; i < len(s.taken); i++ {
-		if s.taken[i].prompt > s.taken[longest].prompt {
+	waiting := s.firstWaiting(c.arrival)
+	longest := waiting
+	for i := waiting; i < len(s.callers); i++ {
+		if s.callers[i].promptTokens > s.callers[longest].promptTokens {
 			longest = i
 		}
 	}
-	s.taken = slices.Delete(s.taken, longest, longest+1)
+	s.callers = slices.Delete(s.callers, longest, longest+1)
 }
 
-// waiting is the index of the first caller whose prompt is not being read yet
-// at a time; the last one always counts.
-func (s *schedule) waiting(at time.Duration) int {
-	for i := range s.taken {
-		if s.end(s.taken[:i]) > at {
+// firstWaiting returns the index of the first caller whose prefill has not
+// started at a time, or of the last caller if all have.
+func (s *engineSchedule) firstWaiting(at time.Duration) int {
+	for i := range s.callers {
+		if s.end(s.callers[:i]) > at {
 			return i
 		}
 	}
-	return len(s.taken) - 1
+	return len(s.callers) - 1
 }
--- a/experiment/result.go
+++ b/experiment/result.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// window is the span over which the worst share on time is taken.
-const window = 3
+// worstWindowSeconds is the length of the windows among which Result.Worst is
+// the worst.
+const worstWindowSeconds = 3
 
-// Result is how one variant served a load.
+// Result measures how a variant served a workload.
 type Result struct {
-	Variant   string
-	Streams   int
-	OnTime    int
-	Late      int // whole, but begun late or with too long a pause
-	Failed    int
-	First     Percentiles // time to the first event
-	Pause     Percentiles // longest pause of each stream
-	ReadAgain int         // prompt tokens read though a call's prompt had been read
-	Copied    int         // tokens copied between engines
-	Preempted int
-	// Crashed is how many engines a deadly call has crashed, and LateSends how many
-	// orders of it reached engines later than spread after it had crashed the third.
-	Crashed   int
-	LateSends int
-	// Second is the share of the streams begun in each second that were on
-	// time; -1 where none began.
+	Variant          string
+	Streams          int
+	OnTime           int
+	Late             int // complete, but missed an objective
+	Failed           int
+	First            Percentiles // time to the first event
+	Pause            Percentiles // longest event interval of each stream
+	ReadAgain        int         // prefill tokens beyond one prefill of each prompt
+	ReplicatedTokens int
+	Preempted        int
+	// Crashed is the number of crashes by a poison request, and LateAttempts
+	// that of its attempts later than propagationTime after the last allowed
+	// crash.
+	Crashed      int
+	LateAttempts int
+	// Second is the share on time of the streams of each second of arrival;
+	// -1 if there are none.
 	Second []float64
-	Worst  float64 // the least share on time of streams begun within three seconds
+	Worst  float64 // least share on time over any worstWindowSeconds
 
-	begun, good  []int // streams, and those on time, by second
-	first, pause []time.Duration
+	startedBySecond, onTimeBySecond []int // streams by second of arrival
+	timesToFirst, longestIntervals  []time.Duration
 }
 
-// Percentiles of a duration.
+// Percentiles holds percentiles of a duration.
 type Percentiles struct{ P50, P95, P99 time.Duration }
 
-// Share is the part of all streams that were on time.
+// Share returns the share of all streams that were on time.
 func (r Result) Share() float64 { return float64(r.OnTime) / float64(max(r.Streams, 1)) }
 
-// normal is the least share on time of the streams begun in a second that
-// counts as served as usual.
-const normal = 0.95
+// recoveredShare is the least share on time in a second that counts as recovered.
+const recoveredShare = 0.95
 
-// Back is how many seconds after the end of a load's last fault the streams
-// that begin are served as usual, and stay so; the load's whole time after it
-// if they never are.
-func (r Result) Back(l Load) int {
-	end := int((l.calmFrom() + time.Second - 1) / time.Second)
-	back := len(r.Second) - end
-	for ; back > 0; back-- {
-		if s := r.Second[end+back-1]; s >= 0 && s < normal {
-			return back
+// RecoverySeconds returns the seconds from the end of the workload's last fault
+// until the share on time reaches recoveredShare for good, or until the end of
+// the workload if it never does.
+func (r Result) RecoverySeconds(w Workload) int {
+	end := int((w.lastFaultEnd() + time.Second - 1) / time.Second)
+	seconds := len(r.Second) - end
+	for ; seconds > 0; seconds-- {
+		if s := r.Second[end+seconds-1]; s >= 0 && s < recoveredShare {
+			return seconds
 		}
 	}
 	return 0
@@ -66,92 +67,92 @@
 	return Percentiles{P50: at(0.5), P95: at(0.95), P99: at(0.99)}
 }
 
-// result takes the measures of a play that has ended.
-func (p *play) result() Result {
-	r := Result{Variant: p.variant.Name, Streams: len(p.callers)}
-	r.begun, r.good = make([]int, p.load.Seconds), make([]int, p.load.Seconds)
-	for _, c := range p.callers {
-		s := int(c.at / time.Second)
-		r.begun[s]++
+// measure computes the result of a simulation that has ended.
+func (sim *simulation) measure() Result {
+	r := Result{Variant: sim.variant.Name, Streams: len(sim.callers)}
+	r.startedBySecond, r.onTimeBySecond = make([]int, sim.workload.Seconds), make([]int, sim.workload.Seconds)
+	for _, c := range sim.callers {
+		second := int(c.arrival / time.Second)
+		r.startedBySecond[second]++
 		switch {
-		case c.onTime():
+		case c.meetsObjectives():
 			r.OnTime++
-			r.good[s]++
-		case c.complete():
+			r.onTimeBySecond[second]++
+		case c.isComplete():
 			r.Late++
 		default:
 			r.Failed++
 		}
-		if c.got > 0 {
-			r.first = append(r.first, c.first)
+		if c.received > 0 {
+			r.timesToFirst = append(r.timesToFirst, c.timeToFirst)
 		}
-		if c.got > 1 {
-			r.pause = append(r.pause, c.pause)
+		if c.received > 1 {
+			r.longestIntervals = append(r.longestIntervals, c.longestInterval)
 		}
 	}
-	r.Second, r.Worst = shares(r.begun, r.good)
-	r.First, r.Pause = percentiles(r.first), percentiles(r.pause)
-	read := 0
-	for _, place := range p.cluster.Nodes() {
-		s := place.Stats()
-		read += s.PrefillTokens
-		r.Copied += s.ReplicatedTokens
-		r.Preempted += s.Preemptions
+	r.Second, r.Worst = shares(r.startedBySecond, r.onTimeBySecond)
+	r.First, r.Pause = percentiles(r.timesToFirst), percentiles(r.longestIntervals)
+	prefilled := 0
+	for _, node := range sim.cluster.Nodes() {
+		stats := node.Stats()
+		prefilled += stats.PrefillTokens
+		r.ReplicatedTokens += stats.ReplicatedTokens
+		r.Preempted += stats.Preemptions
 	}
-	r.ReadAgain = max(0, read-p.asked())
-	r.Crashed, r.LateSends = p.deadly.result()
+	r.ReadAgain = max(0, prefilled-sim.promptTokens())
+	r.Crashed, r.LateAttempts = sim.poisonStats.summary()
 	return r
 }
 
-// merge adds up the results of several draws of a load. The worst share is
-// the mean of theirs.
+// merge sums the results of several draws. The worst share is the mean of
+// theirs, LateAttempts the largest.
 func merge(rs []Result) Result {
-	sum := Result{Variant: rs[0].Variant, begun: make([]int, len(rs[0].begun)), good: make([]int, len(rs[0].begun))}
+	sum := Result{Variant: rs[0].Variant, startedBySecond: make([]int, len(rs[0].startedBySecond)), onTimeBySecond: make([]int, len(rs[0].startedBySecond))}
 	for _, r := range rs {
 		sum.Streams, sum.OnTime, sum.Late, sum.Failed = sum.Streams+r.Streams, sum.OnTime+r.OnTime, sum.Late+r.Late, sum.Failed+r.Failed
-		sum.ReadAgain, sum.Copied, sum.Preempted = sum.ReadAgain+r.ReadAgain, sum.Copied+r.Copied, sum.Preempted+r.Preempted
-		sum.Crashed, sum.LateSends = sum.Crashed+r.Crashed, max(sum.LateSends, r.LateSends)
+		sum.ReadAgain, sum.ReplicatedTokens, sum.Preempted = sum.ReadAgain+r.ReadAgain, sum.ReplicatedTokens+r.ReplicatedTokens, sum.Preempted+r.Preempted
+		sum.Crashed, sum.LateAttempts = sum.Crashed+r.Crashed, max(sum.LateAttempts, r.LateAttempts)
 		sum.Worst += r.Worst / float64(len(rs))
-		sum.first, sum.pause = append(sum.first, r.first...), append(sum.pause, r.pause...)
-		for i := range r.begun {
-			sum.begun[i], sum.good[i] = sum.begun[i]+r.begun[i], sum.good[i]+r.good[i]
+		sum.timesToFirst, sum.longestIntervals = append(sum.timesToFirst, r.timesToFirst...), append(sum.longestIntervals, r.longestIntervals...)
+		for i := range r.startedBySecond {
+			sum.startedBySecond[i], sum.onTimeBySecond[i] = sum.startedBySecond[i]+r.startedBySecond[i], sum.onTimeBySecond[i]+r.onTimeBySecond[i]
 		}
 	}
-	sum.Second, _ = shares(sum.begun, sum.good)
-	sum.First, sum.Pause = percentiles(sum.first), percentiles(sum.pause)
+	sum.Second, _ = shares(sum.startedBySecond, sum.onTimeBySecond)
+	sum.First, sum.Pause = percentiles(sum.timesToFirst), percentiles(sum.longestIntervals)
 	return sum
 }
 
-// asked is how many prompt tokens the callers sent, each prompt once.
-func (p *play) asked() int {
+// promptTokens returns the tokens of all callers' prompts, each counted once.
+func (sim *simulation) promptTokens() int {
 	n := 0
-	for _, c := range p.callers {
-		n += c.prompt
+	for _, c := range sim.callers {
+		n += c.promptTokens
 	}
 	return n
 }
 
-// shares are the shares of good ones in each second, and the least over any
+// shares returns the share on time of each second, and the least over any
 // window.
-func shares(begun, good []int) (second []float64, worst float64) {
+func shares(started, onTime []int) (second []float64, worst float64) {
 	worst = 1
-	for i := range begun {
-		second = append(second, share(good[i:i+1], begun[i:i+1]))
-		if i+window > len(begun) {
+	for i := range started {
+		second = append(second, share(onTime[i:i+1], started[i:i+1]))
+		if i+worstWindowSeconds > len(started) {
 			continue
 		}
-		if s := share(good[i:i+window], begun[i:i+window]); s >= 0 {
+		if s := share(onTime[i:i+worstWindowSeconds], started[i:i+worstWindowSeconds]); s >= 0 {
 			worst = min(worst, s)
 		}
 	}
 	return second, worst
 }
 
-// share is the part of good ones, or -1 if there are none at all.
-func share(good, all []int) float64 {
+// share returns the share on time of all streams, or -1 if there are none.
+func share(onTime, started []int) float64 {
 	g, n := 0, 0
-	for i := range all {
-		g, n = g+good[i], n+all[i]
+	for i := range started {
+		g, n = g+onTime[i], n+started[i]
 	}
 	if n == 0 {
 		return -1
--- /dev/null
+++ b/experiment/simulation.go
@@ -0,0 +1,241 @@
+package experiment
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/sourcegraph/conc"
+	"github.com/sourcegraph/conc/pool"
+
+	"github.com/ragworthitch/ragworthitch"
+	"github.com/ragworthitch/ragworthitch/clock"
+	"github.com/ragworthitch/ragworthitch/emulator"
+)
+
+// simulation is the simulation of a workload with one variant.
+type simulation struct {
+	workload    Workload
+	variant     Variant
+	state       *ragworthitch.DesiredState
+	cluster     *emulator.Cluster
+	callers     []*caller
+	startedAt   time.Time
+	poisonStats poisonStats
+	store       store
+
+	mu      sync.Mutex
+	entries []*instance
+	rng     *rand.Rand // for draws whose order depends on the simulation
+}
+
+// Simulate simulates a workload with a variant, and returns when the last caller
+// has its answer or has given up.
+func Simulate(ctx context.Context, w Workload, v Variant) (Result, error) {
+	state, err := desiredState(!v.NoReplicas, w.profile())
+	if err != nil {
+		return Result{}, err
+	}
+	sim := &simulation{workload: w, variant: v, state: state, cluster: emulator.NewCluster(serviceName, w.Engines, w.Zones, w.profile()), startedAt: time.Now(),
+		rng: rand.New(rand.NewPCG(w.Seed, 2))}
+	for n, node := range sim.nodes() {
+		node.SetSlowdown(w.slowdown(n))
+	}
+	if slices.ContainsFunc(w.Faults, func(f Fault) bool { return f.SameID }) {
+		sim.cluster.ReportStartTimes()
+	}
+	sim.cluster.OnCrash = sim.crash
+	for i := range w.Entries {
+		sim.entries = append(sim.entries, newInstance(sim, fmt.Sprint("entry-", i), w.Zones[i%len(w.Zones)]))
+	}
+	sim.callers = sim.drawCallers(rand.New(rand.NewPCG(w.Seed, 1)))
+	simCtx, stop := context.WithCancel(ctx)
+	var background, callers conc.WaitGroup
+	for _, node := range sim.cluster.Nodes() {
+		background.Go(func() { node.Run(simCtx) })
+	}
+	for i := range w.Entries {
+		background.Go(func() { sim.reportPeriodically(simCtx, i) })
+	}
+	for _, f := range w.Faults {
+		background.Go(func() { sim.injectFault(simCtx, f) })
+	}
+	for _, c := range sim.callers {
+		callers.Go(func() {
+			if clock.Sleep(simCtx, c.arrival) {
+				c.call(simCtx)
+			}
+		})
+	}
+	callers.Wait()
+	stop()
+	background.Wait()
+	return sim.measure(), ctx.Err()
+}
+
+// countEntries returns the number of entry instances that share the retry budget.
+func (sim *simulation) countEntries() (int, clock.Time, bool) {
+	return sim.workload.Entries, clock.Now(), true
+}
+
+// Compare simulates draws of a workload with every variant, all concurrently.
+func Compare(ctx context.Context, w Workload, variants []Variant, draws int) ([]Result, error) {
+	out := make([]Result, len(variants))
+	group := pool.New().WithErrors()
+	for i, v := range variants {
+		group.Go(func() (err error) {
+			out[i], err = simulateDraws(ctx, w, v, draws)
+			return err
+		})
+	}
+	return out, group.Wait()
+}
+
+// simulateDraws simulates a workload with a variant once for each draw, which
+// has a seed of its own.
+func simulateDraws(ctx context.Context, w Workload, v Variant, draws int) (Result, error) {
+	out := make([]Result, draws)
+	group := pool.New().WithErrors()
+	for i := range draws {
+		w.Seed++
+		drawn := w
+		group.Go(func() (err error) {
+			out[i], err = Simulate(ctx, drawn, v)
+			return err
+		})
+	}
+	err := group.Wait()
+	return merge(out), err
+}
+
+// drawCallers draws the callers of the workload. They depend on rng only, so
+// that all variants serve the same ones.
+func (sim *simulation) drawCallers(rng *rand.Rand) []*caller {
+	var out []*caller
+	end := time.Duration(sim.workload.Seconds) * time.Second
+	for at := time.Duration(0); ; {
+		at += time.Duration(rng.ExpFloat64() / sim.workload.arrivalRate(at) * float64(time.Second))
+		if at >= end {
+			return out
+		}
+		out = append(out, &caller{sim: sim, id: fmt.Sprintf("%x", rng.Uint64()), arrival: at,
+			promptTokens: jitter(rng, sim.workload.PromptTokens, 0.3), events: jitter(rng, sim.workload.Events, 0.2)})
+	}
+}
+
+// randomEntry chooses an entry instance, as a load balancer does.
+func (sim *simulation) randomEntry() *instance {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.entries[sim.rng.IntN(len(sim.entries))]
+}
+
+// selects draws whether a fault affects one of its candidates; a share of 0
+// affects all.
+func (sim *simulation) selects(share float64) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return share == 0 || sim.rng.Float64() < share
+}
+
+// injectFault starts a fault at its time, and ends it.
+func (sim *simulation) injectFault(ctx context.Context, f Fault) {
+	if !clock.Sleep(ctx, time.Duration(f.AtMs)*time.Millisecond) {
+		return
+	}
+	switch f.Kind {
+	case FaultReset:
+		for _, c := range sim.callers {
+			if sim.selects(f.Share) {
+				c.resetConnection()
+			}
+		}
+	case FaultPacketLoss:
+		sim.cluster.SetPacketLoss(f.Zone, f.Share)
+		clock.Sleep(ctx, time.Duration(f.ForMs)*time.Millisecond)
+		sim.cluster.SetPacketLoss(f.Zone, 0)
+	case FaultDown:
+		sim.failZone(ctx, f, emulator.Down)
+	case FaultUnreachable:
+		sim.failZone(ctx, f, emulator.Unreachable)
+	case FaultStuck:
+		sim.failZone(ctx, f, emulator.Stuck)
+	case FaultSlow:
+		sim.slowDown(ctx, f)
+	case FaultPoison:
+		sim.sendPoisonRequests(ctx, f)
+	case FaultKillEntries:
+		sim.killEntries()
+	case FaultStoreUnavailable:
+		sim.store.setUnavailable(true)
+		clock.Sleep(ctx, time.Duration(f.ForMs)*time.Millisecond)
+		sim.store.setUnavailable(false)
+	}
+}
+
+// nodes returns the cluster's engines in the order of their addresses.
+func (sim *simulation) nodes() []*emulator.Node {
+	return slices.SortedFunc(maps.Values(sim.cluster.Nodes()), func(a, b *emulator.Node) int { return cmp.Compare(a.Addr, b.Addr) })
+}
+
+// slowDown slows engines for the fault's duration: the first ones, so that they
+// are the same for every variant.
+func (sim *simulation) slowDown(ctx context.Context, f Fault) {
+	var affected []int
+	nodes := sim.nodes()
+	for n, node := range nodes {
+		if f.affects(n, len(nodes)) && (f.Zone == "" || node.Zone == f.Zone) {
+			affected = append(affected, n)
+			node.SetSlowdown(f.Factor * sim.workload.slowdown(n))
+		}
+	}
+	clock.Sleep(ctx, time.Duration(f.ForMs)*time.Millisecond)
+	for _, n := range affected {
+		nodes[n].SetSlowdown(sim.workload.slowdown(n))
+	}
+}
+
+// affects reports whether a fault affects the nth of all engines.
+func (f Fault) affects(n, of int) bool { return f.Share == 0 || float64(n) < f.Share*float64(of) }
+
+// failZone makes engines of a zone fail for the fault's duration. The entry
+// instances learn of their new boots after discoveryDelay.
+func (sim *simulation) failZone(ctx context.Context, f Fault, state emulator.State) {
+	var affected []*emulator.Node
+	for _, node := range sim.cluster.Nodes() {
+		if node.Zone == f.Zone && sim.selects(f.Share) {
+			affected = append(affected, node)
+			node.Fail(state)
+		}
+	}
+	if !clock.Sleep(ctx, time.Duration(f.ForMs)*time.Millisecond) {
+		return
+	}
+	for _, node := range affected {
+		node.Restart(f.SameID)
+	}
+	if state == emulator.Stuck || !clock.Sleep(ctx, discoveryDelay) {
+		return
+	}
+	for _, node := range affected {
+		sim.registerBoot(node)
+	}
+}
+
+// registerBoot registers an engine's current boot at all entry instances.
+func (sim *simulation) registerBoot(node *emulator.Node) {
+	for _, entry := range sim.allEntries() {
+		entry.targets.Put(sim.cluster.Target(node), 0)
+	}
+}
+
+func (sim *simulation) allEntries() []*instance {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return slices.Clone(sim.entries)
+}
--- a/experiment/play_test.go
+++ b/experiment/simulation_test.go
@@ -14,8 +14,8 @@
 	"github.com/ragworthitch/ragworthitch/rwtest/cases"
 )
 
-// draws is how often each load is drawn; the bounds hold for all together. With
-// three, the share of a variant that chooses at random spread by 0.02.
+// draws is the number of draws of each workload; the bounds are on their merged
+// result. With fewer the shares of variants that choose at random vary too much.
 const draws = 8
 
 type expected struct {
@@ -23,73 +23,70 @@
 	Share float64
 	Worst float64
 	Beats map[string]float64
-	// Misses bounds what is not on time as a part of what is not with other
-	// variants: a lead in shares says little where nearly all are on time.
+	// Misses bounds the share not on time relative to that of other variants: a
+	// difference of shares says little if nearly all streams are on time.
 	Misses map[string]float64
-	// OfOffline is the least part of what a scheduler that knows all
-	// beforehand would begin in time; 0: not compared.
+	// OfOffline bounds the share relative to OfflineShare; 0: no bound.
 	OfOffline float64 `yaml:"ofOffline"`
-	// Back is the most seconds after the last fault until all are served as
-	// usual again; 0: not bounded.
+	// Back bounds RecoverySeconds; 0: no bound.
 	Back int
-	// Crashed is how many engines a deadly call may crash in a draw, in the mean: three,
-	// and those that it had begun to run at meanwhile.
+	// Crashed bounds the mean number of engines that a poison request crashes in
+	// a draw: those before the quarantine, and those with attempts at that time.
 	Crashed int
 }
 
-// lateSends is how many orders of a call that has crashed three engines may reach
-// engines later than 3 s after that.
-const lateSends = 3
+// maxLateAttempts bounds Result.LateAttempts.
+const maxLateAttempts = 3
 
 func TestMain(m *testing.M) {
-	clock.FollowRuntime() // plays take no time: the runtime's clock runs ahead
+	clock.FollowRuntime() // in a synctest bubble the runtime's clock runs ahead of real time
 	os.Exit(m.Run())
 }
 
-// TestLoads plays each load in the time of a synctest bubble, and bounds how
-// the product serves it, alone and against variants that lack a mechanism.
-func TestLoads(t *testing.T) {
-	loads, err := ReadLoads("testdata/loads.yaml")
+// Guards the share on time of the product on each workload, and its lead over
+// variants that lack a mechanism.
+func TestWorkloads(t *testing.T) {
+	workloads, err := ReadLoads("testdata/loads.yaml")
 	require.NoError(t, err)
 	for _, want := range cases.Load[expected](t, "testdata/expected.yaml") {
 		t.Run(want.Load, func(t *testing.T) {
 			t.Parallel()
-			i := slices.IndexFunc(loads, func(l Load) bool { return l.Name == want.Load })
+			i := slices.IndexFunc(workloads, func(w Workload) bool { return w.Name == want.Load })
 			require.GreaterOrEqual(t, i, 0)
-			product := played(t, loads[i], "product")
+			product := simulate(t, workloads[i], "product")
 			assert.GreaterOrEqual(t, product.Share(), want.Share)
 			assert.GreaterOrEqual(t, product.Worst, want.Worst)
-			assert.GreaterOrEqual(t, product.Share(), want.OfOffline*Offline(loads[i], draws))
+			assert.GreaterOrEqual(t, product.Share(), want.OfOffline*OfflineShare(workloads[i], draws))
 			if want.Back > 0 {
-				assert.LessOrEqual(t, product.Back(loads[i]), want.Back)
+				assert.LessOrEqual(t, product.RecoverySeconds(workloads[i]), want.Back)
 			}
-			assert.LessOrEqual(t, product.LateSends, lateSends)
+			assert.LessOrEqual(t, product.LateAttempts, maxLateAttempts)
 			assert.LessOrEqual(t, product.Crashed, draws*want.Crashed)
 			for name, part := range want.Misses {
-				assert.LessOrEqual(t, 1-product.Share(), part*(1-played(t, loads[i], name).Share()), name)
+				assert.LessOrEqual(t, 1-product.Share(), part*(1-simulate(t, workloads[i], name).Share()), name)
 			}
 			for name, by := range want.Beats {
-				assert.GreaterOrEqual(t, product.Share(), played(t, loads[i], name).Share()+by, name)
+				assert.GreaterOrEqual(t, product.Share(), simulate(t, workloads[i], name).Share()+by, name)
 			}
 		})
 	}
 }
 
-// played is how a variant serves a load, over draws.
-func played(t *testing.T, l Load, name string) (r Result) {
+// simulate returns the merged result of a variant's draws of a workload.
+func simulate(t *testing.T, w Workload, name string) (r Result) {
 	v, err := VariantByName(name)
 	require.NoError(t, err)
 	synctest.Test(t, func(t *testing.T) {
-		results, err := Compare(t.Context(), l, []Variant{v}, draws)
+		results, err := Compare(t.Context(), w, []Variant{v}, draws)
 		require.NoError(t, err)
 		r = results[0]
 	})
-	t.Logf("%s, %s: on time %.3f, worst %.2f, late %d, failed %d, pause %v, read again %d, back after %d s, of offline %.3f",
-		l.Name, name, r.Share(), r.Worst, r.Late, r.Failed, r.Pause, r.ReadAgain, r.Back(l), r.Share()/Offline(l, draws))
+	t.Logf("%s, %s: on time %.3f, worst %.2f, late %d, failed %d, longest interval %v, prefilled again %d, recovered after %d s, of offline %.3f",
+		w.Name, name, r.Share(), r.Worst, r.Late, r.Failed, r.Pause, r.ReadAgain, r.RecoverySeconds(w), r.Share()/OfflineShare(w, draws))
 	return r
 }
 
-func TestBadLoads(t *testing.T) {
+func TestInvalidWorkloads(t *testing.T) {
 	tests := map[string]string{
 		"not YAML":      "- [",
 		"unknown field": "- {name: x, entires: 3}",
@@ -104,11 +101,11 @@
 			file := filepath.Join(t.TempDir(), "loads.yaml")
 			require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 			_, err := ReadLoads(file)
-			assert.ErrorIs(t, err, ErrBadLoad)
+			assert.ErrorIs(t, err, ErrBadWorkload)
 		})
 	}
 	_, err := ReadLoads("testdata/none.yaml")
-	assert.ErrorIs(t, err, ErrBadLoad)
+	assert.ErrorIs(t, err, ErrBadWorkload)
 	_, err = VariantByName("none")
-	assert.ErrorIs(t, err, ErrBadLoad)
+	assert.ErrorIs(t, err, ErrBadWorkload)
 }
--- a/experiment/variant.go
+++ b/experiment/variant.go
@@ -12,80 +12,81 @@
 )
 
 type (
-	// Variant is one way to serve a load.
+	// Variant is a way to serve a workload: the product's, or without one of its
+	// mechanisms.
 	Variant struct {
-		Name    string
-		Engines ingress.EnginePolicy // nil: the product's
-		Alone   bool                 // entries tell each other nothing
-		NoCopy  bool                 // no copies of streams' memory are kept
-		// NoVerdicts: calls that crash engines are run again and again.
-		NoVerdicts bool
-		Speeds     *pace.Pace // nil: they are learnt
+		Name       string
+		Engines    ingress.EnginePolicy // nil: the product's
+		NoReports  bool                 // entry instances send each other no reports
+		NoReplicas bool                 // no replicas are kept
+		// NoQuarantine: poison requests are retried like others.
+		NoQuarantine bool
+		FixedPace    *pace.Pace // nil: learnt from the engines' answers
 	}
 
-	// blind is the product's policy without a part of what it knows.
-	blind struct {
+	// maskedPolicy is the product's policy without some of its inputs.
+	maskedPolicy struct {
 		route.Engines
-		trouble, homes, zones bool // what it does not know
+		ignoreZoneOutages, ignorePreferred, ignoreZones bool
 	}
 
-	// leastLoaded is the product's first policy on what is known today.
+	// leastLoaded applies route.LeastLoaded to engines.
 	leastLoaded struct{ route.LeastLoaded }
 
-	// anyEngine chooses among the engines that take work, whatever their
-	// load.
-	anyEngine struct{ route.Engines }
+	// randomEngine chooses a random usable engine.
+	randomEngine struct{ route.Engines }
 )
 
-// Score is the product's, without what the policy does not know.
-func (b blind) Score(c route.EngineCandidate, key uint64) float64 {
-	if b.trouble {
+// Score returns the product's score without the masked inputs.
+func (p maskedPolicy) Score(c route.EngineCandidate, key uint64) float64 {
+	if p.ignoreZoneOutages {
 		c.Trouble = 0
 	}
-	if b.homes {
+	if p.ignorePreferred {
 		c.Home = 0
 	}
-	if b.zones {
+	if p.ignoreZones {
 		c.SameZone, c.Loss = true, 0
 	}
-	return b.Engines.Score(c, key)
+	return p.Engines.Score(c, key)
 }
 
-// Usable reports whether the engine takes work.
+// Usable reports whether the engine accepts calls.
 func (leastLoaded) Usable(c route.EngineCandidate) bool { return route.Engines{}.Usable(c) }
 
-// Score is the number of running streams, less a bonus for the home.
+// Score returns the number of running streams, less a bonus for the preferred
+// target.
 func (l leastLoaded) Score(c route.EngineCandidate, key uint64) float64 {
 	return l.LeastLoaded.Score(route.Candidate{Reported: c.Running}, key) - c.Home/2 + c.Jitter/10
 }
 
-// Score is random.
-func (anyEngine) Score(c route.EngineCandidate, _ uint64) float64 { return c.Jitter }
+// Score returns a random score.
+func (randomEngine) Score(c route.EngineCandidate, _ uint64) float64 { return c.Jitter }
 
-// Variants are the known ways to serve a load, the product's first.
+// Variants returns all variants, the product first.
 func Variants() []Variant {
 	return []Variant{
 		{Name: "product"},
-		{Name: "alone", Alone: true},
-		{Name: "noCopies", NoCopy: true},
-		{Name: "noVerdicts", NoVerdicts: true},
-		{Name: "noTrouble", Engines: blind{trouble: true}},
-		{Name: "noHomes", Engines: blind{homes: true}},
-		{Name: "noZones", Engines: blind{zones: true}},
+		{Name: "alone", NoReports: true},
+		{Name: "noCopies", NoReplicas: true},
+		{Name: "noVerdicts", NoQuarantine: true},
+		{Name: "noTrouble", Engines: maskedPolicy{ignoreZoneOutages: true}},
+		{Name: "noHomes", Engines: maskedPolicy{ignorePreferred: true}},
+		{Name: "noZones", Engines: maskedPolicy{ignoreZones: true}},
 		{Name: "leastLoaded", Engines: leastLoaded{}},
-		{Name: "fixedSpeeds", Speeds: usualSpeeds()},
-		{Name: "any", Engines: anyEngine{}},
+		{Name: "fixedSpeeds", FixedPace: defaultPace()},
+		{Name: "any", Engines: randomEngine{}},
 	}
 }
 
-// usualSpeeds are those of the usual kind of engine, written in.
-func usualSpeeds() *pace.Pace {
-	k := emulator.DefaultProfile()
-	gap := time.Duration(k.TokensPerEvent) * (k.StepTime + k.StepTimePerRequest)
-	return &pace.Pace{Gap: gap, Ratio: float64(time.Millisecond) / k.PrefillTokensPerMs / float64(gap), Prompt: 8000, Whole: gap, Length: 0.75}
+// defaultPace returns the fixed pace of an idle engine with the default profile.
+func defaultPace() *pace.Pace {
+	profile := emulator.DefaultProfile()
+	interval := time.Duration(profile.TokensPerEvent) * (profile.StepTime + profile.StepTimePerRequest)
+	return &pace.Pace{Gap: interval, Ratio: float64(time.Millisecond) / profile.PrefillTokensPerMs / float64(interval), Prompt: 8000, Whole: interval, Length: 0.75}
 }
 
-// VariantByName finds a variant. The error names those there are.
+// VariantByName finds a variant. The error lists the known ones.
 func VariantByName(name string) (Variant, error) {
 	var names []string
 	for _, v := range Variants() {
@@ -94,5 +95,5 @@
 		}
 		names = append(names, v.Name)
 	}
-	return Variant{}, fmt.Errorf("%w: no variant %q (there are %s)", ErrBadLoad, name, strings.Join(names, ", "))
+	return Variant{}, fmt.Errorf("%w: unknown variant %q (known: %s)", ErrBadWorkload, name, strings.Join(names, ", "))
 }
--- /dev/null
+++ b/experiment/workload.go
@@ -0,0 +1,156 @@
+// Package experiment compares policies under a workload. It simulates the
+// workload once for each variant: entry instances with the request handling of
+// package ingress send to the engines of package emulator, in one process and
+// without a network.
+package experiment
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/goccy/go-yaml"
+
+	"github.com/ragworthitch/ragworthitch/emulator"
+)
+
+// Kinds of fault.
+const (
+	FaultDown        = "down"  // engines of a zone crash
+	FaultUnreachable = "dark"  // engines of a zone lose power
+	FaultStuck       = "stuck" // engines of a zone stop, and later resume their generations
+	FaultReset       = "reset" // a share of the callers' connections is reset
+	FaultBurst       = "burst" // more callers arrive
+	FaultPacketLoss  = "lossy" // a zone's links to the others lose a share of the packets
+	FaultSlow        = "slow"  // engines slow down, in all zones if none is named
+
+	FaultPoison           = "deadly" // a poison request is sent to random entry instances
+	FaultKillEntries      = "killed" // all entry instances are killed and replaced
+	FaultStoreUnavailable = "away"   // the store of crash records is unavailable
+)
+
+// ErrBadWorkload is wrapped by errors about workloads and variants.
+var ErrBadWorkload = errors.New("experiment: invalid workload")
+
+type (
+	// Workload describes the callers, engines and faults of a simulation.
+	Workload struct {
+		Name          string         `yaml:"name"`
+		Seed          uint64         `yaml:"seed"`
+		Entries       int            `yaml:"entries"`
+		Engines       int            `yaml:"engines"`
+		Zones         []string       `yaml:"zones"`
+		Seconds       int            `yaml:"seconds"` // during which callers arrive
+		StreamsPerSec float64        `yaml:"perSecond"`
+		PromptTokens  int            `yaml:"prompt"` // mean; +-30%
+		Events        int            `yaml:"events"` // mean of an answer; +-20%
+		Engine        *EngineProfile `yaml:"engine"` // nil: the default profile
+		Faults        []Fault        `yaml:"faults"`
+	}
+
+	// EngineProfile is an emulator.Profile in YAML.
+	EngineProfile struct {
+		StepTimeUs           int     `yaml:"stepUs"`
+		StepTimePerRequestUs int     `yaml:"stepMoreUs"`
+		FirstTokenDelayMs    int     `yaml:"firstMs"`
+		PrefillTokensPerMs   float64 `yaml:"readPerMs"`
+		PrefillChunk         int     `yaml:"chunk"`
+		Slots                int     `yaml:"slots"`
+		MemoryTokens         int     `yaml:"memory"`
+		TokensPerEvent       int     `yaml:"stride"`
+		// Slowdowns are factors on the engines' durations, assigned round-robin;
+		// empty: 1 for all.
+		Slowdowns []float64 `yaml:"speeds"`
+	}
+
+	// Fault is a fault during a workload.
+	Fault struct {
+		Kind     string  `yaml:"kind"`
+		AtMs     int     `yaml:"atMs"`
+		ForMs    int     `yaml:"forMs"`
+		Zone     string  `yaml:"zone"`
+		Share    float64 `yaml:"share"`  // of engines, connections or packets; 0: all engines and connections, no packets
+		Factor   float64 `yaml:"factor"` // on the arrival rate or the engines' durations
+		SameID   bool    `yaml:"sameID"` // engines restart under the same id
+		Requests int     `yaml:"tries"`  // poison requests, spread over the fault's duration
+	}
+)
+
+// ReadLoads reads a YAML list of workloads. Errors wrap ErrBadWorkload.
+func ReadLoads(file string) ([]Workload, error) {
+	b, err := os.ReadFile(file)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrBadWorkload, err)
+	}
+	var workloads []Workload
+	if err := yaml.UnmarshalWithOptions(b, &workloads, yaml.Strict()); err != nil {
+		return nil, fmt.Errorf("%w: %s: %w", ErrBadWorkload, file, err)
+	}
+	for _, w := range workloads {
+		if err := w.validate(); err != nil {
+			return nil, err
+		}
+	}
+	return workloads, nil
+}
+
+func (w *Workload) validate() error {
+	switch {
+	case w.Entries < 1 || w.Engines < 1 || len(w.Zones) == 0 || w.Seconds < 1:
+		return fmt.Errorf("%w: %q needs entries, engines, zones and seconds", ErrBadWorkload, w.Name)
+	case w.Engine != nil && (w.Engine.StepTimeUs < 1 || w.Engine.PrefillTokensPerMs <= 0 || w.Engine.PrefillChunk < 1 || w.Engine.Slots < 1 || w.Engine.TokensPerEvent < 1):
+		return fmt.Errorf("%w: %q: engines need stepUs, readPerMs, chunk, slots and stride", ErrBadWorkload, w.Name)
+	case w.PromptTokens < 1 || w.PromptTokens > w.profile().MemoryTokens/2:
+		return fmt.Errorf("%w: %q: prompt of %d tokens is empty or larger than half of an engine's memory", ErrBadWorkload, w.Name, w.PromptTokens)
+	case w.Events < 1 || w.StreamsPerSec <= 0:
+		return fmt.Errorf("%w: %q needs events and perSecond", ErrBadWorkload, w.Name)
+	}
+	for _, f := range w.Faults {
+		switch f.Kind {
+		case FaultDown, FaultUnreachable, FaultStuck, FaultReset, FaultBurst, FaultPacketLoss, FaultSlow, FaultPoison, FaultKillEntries, FaultStoreUnavailable:
+		default:
+			return fmt.Errorf("%w: %q: unknown kind of fault %q", ErrBadWorkload, w.Name, f.Kind)
+		}
+	}
+	return nil
+}
+
+// lastFaultEnd returns when the last fault ends.
+func (w *Workload) lastFaultEnd() time.Duration {
+	var end time.Duration
+	for _, f := range w.Faults {
+		end = max(end, time.Duration(f.AtMs+f.ForMs)*time.Millisecond)
+	}
+	return end
+}
+
+// profile returns the profile of the workload's engines.
+func (w *Workload) profile() emulator.Profile {
+	if w.Engine == nil {
+		return emulator.DefaultProfile()
+	}
+	e := w.Engine
+	return emulator.Profile{StepTime: time.Duration(e.StepTimeUs) * time.Microsecond, StepTimePerRequest: time.Duration(e.StepTimePerRequestUs) * time.Microsecond,
+		FirstTokenDelay: time.Duration(e.FirstTokenDelayMs) * time.Millisecond, PrefillTokensPerMs: e.PrefillTokensPerMs, PrefillChunk: e.PrefillChunk, Slots: e.Slots, MemoryTokens: e.MemoryTokens, TokensPerEvent: e.TokensPerEvent}
+}
+
+// slowdown returns the factor on the nth engine's durations.
+func (w *Workload) slowdown(n int) float64 {
+	if w.Engine == nil || len(w.Engine.Slowdowns) == 0 {
+		return 1
+	}
+	return w.Engine.Slowdowns[n%len(w.Engine.Slowdowns)]
+}
+
+// arrivalRate returns how many callers per second arrive at a time.
+func (w *Workload) arrivalRate(at time.Duration) float64 {
+	rate := w.StreamsPerSec
+	for _, f := range w.Faults {
+		from := time.Duration(f.AtMs) * time.Millisecond
+		if f.Kind == FaultBurst && at >= from && at < from+time.Duration(f.ForMs)*time.Millisecond {
+			rate *= f.Factor
+		}
+	}
+	return rate
+}
