--- a/load/check.go
+++ b/load/check.go
@@ -3,48 +3,49 @@
 import "github.com/ragworthitch/ragworthitch"
 
 type (
-	// received is one token as the caller got it.
-	received struct {
-		offset  int
-		attempt int
-		text    string
-		atNs    int64
+	// receivedToken is a token that the caller received.
+	receivedToken struct {
+		offset       int
+		attempt      int
+		text         string
+		receivedAtNs int64
 	}
 
-	// verdict is what the checker found in one answer.
-	verdict struct {
-		missing  int
-		repeated int
-		mixed    bool
-		gaps     []int64 // resume gaps the caller saw, in ns
+	// tokenCheck is the result of checkTokens.
+	tokenCheck struct {
+		missing        int
+		repeated       int
+		mixed          bool    // with tokens of another generation
+		resumeDelaysNs []int64 // between the last token of an attempt and the first of the next
 	}
 )
 
-// check proves an answer whole: every offset once, each token the chain's
-// successor of the one before it, so that two generations never mix.
-func check(toks []received, want int) verdict {
-	var v verdict
-	seen := make(map[int]bool, len(toks))
-	byOffset := make([]string, want)
-	for i, t := range toks {
-		if seen[t.offset] || t.offset < 0 || t.offset >= want {
-			v.repeated++
+// checkTokens checks that an answer has every offset from 0 to total - 1 once. As
+// each token determines the next, it also finds answers that mix tokens of two
+// generations.
+func checkTokens(tokens []receivedToken, total int) tokenCheck {
+	var result tokenCheck
+	seen := make(map[int]bool, len(tokens))
+	byOffset := make([]string, total)
+	for i, t := range tokens {
+		if seen[t.offset] || t.offset < 0 || t.offset >= total {
+			result.repeated++
 			continue
 		}
 		seen[t.offset] = true
 		byOffset[t.offset] = t.text
-		if i > 0 && t.attempt != toks[i-1].attempt {
-			v.gaps = append(v.gaps, t.atNs-toks[i-1].atNs)
+		if i > 0 && t.attempt != tokens[i-1].attempt {
+			result.resumeDelaysNs = append(result.resumeDelaysNs, t.receivedAtNs-tokens[i-1].receivedAtNs)
 		}
 	}
-	v.missing = want - len(seen)
-	for i := 1; i < want; i++ {
+	result.missing = total - len(seen)
+	for i := 1; i < total; i++ {
 		if byOffset[i] == "" || byOffset[i-1] == "" {
 			continue
 		}
 		if ragworthitch.NextToken(byOffset[i-1], i) != byOffset[i] {
-			v.mixed = true
+			result.mixed = true
 		}
 	}
-	return v
+	return result
 }
--- a/load/run.go
+++ b/load/run.go
@@ -18,21 +18,21 @@
 
 // Limits of a replay.
 const (
-	reconnects   = 30
-	retryPause   = 200 * time.Millisecond
-	readyTimeout = 20 * time.Second
-	orgPrefix    = 64 // words every prompt of an organisation starts with
+	maxConnects    = 30
+	reconnectDelay = 200 * time.Millisecond
+	readyTimeout   = 20 * time.Second
+	orgPrefixWords = 64 // words every prompt of an organisation starts with
 )
 
 type (
-	// Options set a replay.
+	// Options are the options of a replay.
 	Options struct {
 		Entries []string      // entry addresses; default: all in the settings
-		Timeout time.Duration // the whole replay ends by then
+		Timeout time.Duration // of the whole replay; default: 2 minutes
 	}
 
-	// Summary is the result of a replay; the JSON is the last line of
-	// load -json.
+	// Summary is the result of a replay. The command load -json prints it as its
+	// last line.
 	Summary struct {
 		Answers        int      `json:"answers"`
 		Complete       int      `json:"complete"`
@@ -58,16 +58,16 @@
 		Broken         []string `json:"broken,omitempty"`
 	}
 
-	// Result is the verdict on one request.
+	// Result is the result of one request.
 	Result struct {
-		ID       string  `json:"id"`
-		Kind     string  `json:"kind"`
-		Verdict  string  `json:"verdict"` // complete, notRun, failed, unknown
-		Detail   string  `json:"detail,omitempty"`
-		Ms       float64 `json:"ms"`
-		v        verdict
-		key      string
-		replayed bool // the recorded answer of an earlier run
+		ID             string  `json:"id"`
+		Kind           string  `json:"kind"`
+		Verdict        string  `json:"verdict"` // complete, notRun, failed, unknown
+		Detail         string  `json:"detail,omitempty"`
+		Ms             float64 `json:"ms"`
+		check          tokenCheck
+		idempotencyKey string
+		replayed       bool // answered with the recorded answer of an earlier call
 	}
 
 	runner struct {
@@ -82,14 +82,14 @@
 )
 
 // Run replays events against the deployment and returns the summary and the
-// verdict on every request.
-func Run(ctx context.Context, cfg *settings.File, events []Event, opt Options) (Summary, []Result, error) {
-	if opt.Timeout == 0 {
-		opt.Timeout = 2 * time.Minute
+// result of every request.
+func Run(ctx context.Context, cfg *settings.File, events []Event, options Options) (Summary, []Result, error) {
+	if options.Timeout == 0 {
+		options.Timeout = 2 * time.Minute
 	}
-	ctx, cancel := context.WithTimeout(ctx, opt.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, options.Timeout)
 	defer cancel()
-	r := &runner{cfg: cfg, entries: opt.Entries, http: &http.Client{}}
+	r := &runner{cfg: cfg, entries: options.Entries, http: &http.Client{}}
 	if len(r.entries) == 0 {
 		for _, e := range cfg.Entries {
 			r.entries = append(r.entries, e.Listen)
@@ -113,10 +113,10 @@
 		go func() {
 			defer wg.Done()
 			if ev.Fault != nil {
-				r.fault(ctx, *ev.Fault)
+				r.injectFault(ctx, *ev.Fault)
 				return
 			}
-			r.add(r.request(ctx, *ev.Request, i))
+			r.addResult(r.runRequest(ctx, *ev.Request, i))
 		}()
 	}
 	wg.Wait()
@@ -124,13 +124,13 @@
 	return s, r.results, nil
 }
 
-func (r *runner) add(res Result) {
+func (r *runner) addResult(result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.results = append(r.results, res)
+	r.results = append(r.results, result)
 }
 
-// waitReady waits until every entry knows its targets.
+// waitReady waits until every entry instance is ready.
 func (r *runner) waitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, addr := range r.entries {
@@ -143,7 +143,7 @@
 				}
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("load: entry %s not ready after %v", addr, readyTimeout)
+				return fmt.Errorf("load: entry instance %s is not ready after %v", addr, readyTimeout)
 			}
 			select {
 			case <-ctx.Done():
@@ -152,12 +152,12 @@
 			}
 		}
 	}
-	// Give entries one more refresh to see every agent.
+	// The entry instances may know all agents only after another refresh.
 	time.Sleep(2 * settings.Ms(r.cfg.Timeouts.RefreshMs))
 	return nil
 }
 
-func (r *runner) fault(ctx context.Context, f TraceFault) {
+func (r *runner) injectFault(ctx context.Context, f TraceFault) {
 	switch f.Kind {
 	case FaultPauseEngine, FaultKillEngine:
 		t, err := r.cfg.Target(f.Target)
@@ -202,53 +202,53 @@
 	}
 }
 
-func (r *runner) request(ctx context.Context, q TraceRequest, i int) Result {
-	if q.Kind == "long" {
-		return r.long(ctx, q, i)
+func (r *runner) runRequest(ctx context.Context, request TraceRequest, index int) Result {
+	if request.Kind == "long" {
+		return r.runStream(ctx, request, index)
 	}
-	op := q.Op
+	op := request.Op
 	if op == "" {
-		op = map[string]string{"short": "status", "quote": "quote", "charge": "charge"}[q.Kind]
+		op = map[string]string{"short": "status", "quote": "quote", "charge": "charge"}[request.Kind]
 	}
-	body, _ := json.Marshal(map[string]string{"org": q.Org})
-	res := Result{ID: q.ID, Kind: q.Kind, key: q.IdempotencyKey}
-	t0 := time.Now()
-	// Like the platform's balancer, an entry that cannot be reached is
-	// skipped for the next; the same idempotency key makes that safe.
+	body, _ := json.Marshal(map[string]string{"org": request.Org})
+	result := Result{ID: request.ID, Kind: request.Kind, idempotencyKey: request.IdempotencyKey}
+	start := time.Now()
+	// Like a load balancer, tries the next entry instance if one is unreachable.
+	// The idempotency key makes this safe.
 	var resp *http.Response
 	var err error
 	for try := range len(r.entries) {
-		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.entries[(i+try)%len(r.entries)]+"/v1/call/"+op, bytes.NewReader(body))
-		req.Header.Set("X-Request-Id", q.ID)
-		if q.IdempotencyKey != "" {
-			req.Header.Set("Idempotency-Key", q.IdempotencyKey)
+		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.entries[(index+try)%len(r.entries)]+"/v1/call/"+op, bytes.NewReader(body))
+		req.Header.Set("X-Request-Id", request.ID)
+		if request.IdempotencyKey != "" {
+			req.Header.Set("Idempotency-Key", request.IdempotencyKey)
 		}
 		if resp, err = r.http.Do(req); err == nil {
 			break
 		}
 	}
-	res.Ms = float64(time.Since(t0).Microseconds()) / 1000
+	result.Ms = float64(time.Since(start).Microseconds()) / 1000
 	if err != nil {
-		res.Verdict, res.Detail = "failed", err.Error()
-		return res
+		result.Verdict, result.Detail = "failed", err.Error()
+		return result
 	}
 	defer resp.Body.Close()
-	var eb struct {
+	var answer struct {
 		Error    string `json:"error"`
 		NotRun   bool   `json:"notRun"`
 		Replayed bool   `json:"replayed"`
 	}
 	b, _ := io.ReadAll(resp.Body)
-	json.Unmarshal(b, &eb)
+	json.Unmarshal(b, &answer)
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		res.Verdict, res.replayed = "complete", eb.Replayed
-	case eb.NotRun:
-		res.Verdict, res.Detail = "notRun", eb.Error
+		result.Verdict, result.replayed = "complete", answer.Replayed
+	case answer.NotRun:
+		result.Verdict, result.Detail = "notRun", answer.Error
 	case resp.StatusCode == http.StatusConflict:
-		res.Verdict, res.Detail = "unknown", eb.Error
+		result.Verdict, result.Detail = "unknown", answer.Error
 	default:
-		res.Verdict, res.Detail = "failed", eb.Error
+		result.Verdict, result.Detail = "failed", answer.Error
 	}
-	return res
+	return result
 }
--- a/load/summary.go
+++ b/load/summary.go
@@ -11,67 +11,67 @@
 	"github.com/ragworthitch/ragworthitch/settings"
 )
 
-// summarise counts the verdicts, reads the entries' and services' counts,
-// and lists every stated outcome that is broken.
+// summarise counts the results by verdict, adds the counts of the entry instances
+// and services, and lists the violated guarantees.
 func (r *runner) summarise(ctx context.Context) Summary {
-	var s Summary
-	s.ElapsedMs = time.Since(r.start).Milliseconds()
-	var gaps, shorts []float64
-	// Per idempotency key: was any call told "not run", and how many calls
-	// may have run it (a fresh answer, an unknown outcome or a failure).
+	var summary Summary
+	summary.ElapsedMs = time.Since(r.start).Milliseconds()
+	var resumeDelays, shortLatencies []float64
+	// By idempotency key: whether a call was rejected as not run, and how many
+	// calls may have run (those with a new answer, an unknown outcome or a failure).
 	notRunKeys := map[string]bool{}
 	mayHaveRun := map[string]int{}
 	for _, res := range r.results {
-		if res.key != "" && res.Verdict != "notRun" && !res.replayed {
-			mayHaveRun[res.key]++
+		if res.idempotencyKey != "" && res.Verdict != "notRun" && !res.replayed {
+			mayHaveRun[res.idempotencyKey]++
 		}
-		s.Answers++
+		summary.Answers++
 		switch res.Verdict {
 		case "complete":
-			s.Complete++
+			summary.Complete++
 		case "notRun":
-			s.NotRun++
-			if res.key != "" {
-				notRunKeys[res.key] = true
+			summary.NotRun++
+			if res.idempotencyKey != "" {
+				notRunKeys[res.idempotencyKey] = true
 			}
 		case "unknown":
-			s.UnknownOutcome++
+			summary.UnknownOutcome++
 		default:
-			s.Failed++
+			summary.Failed++
 		}
 		if res.Kind == "long" {
 			if res.Verdict != "notRun" {
-				s.Missing += res.v.missing
+				summary.Missing += res.check.missing
 			}
-			s.Repeated += res.v.repeated
-			if res.v.mixed {
-				s.Mixed++
+			summary.Repeated += res.check.repeated
+			if res.check.mixed {
+				summary.Mixed++
 			}
-			for _, g := range res.v.gaps {
-				gaps = append(gaps, float64(g)/1e6)
+			for _, g := range res.check.resumeDelaysNs {
+				resumeDelays = append(resumeDelays, float64(g)/1e6)
 			}
 		} else if res.Verdict == "complete" {
-			shorts = append(shorts, res.Ms)
+			shortLatencies = append(shortLatencies, res.Ms)
 		}
 	}
-	s.Resumes = len(gaps)
-	s.ResumeP50Ms, s.ResumeP99Ms = quantile(gaps, 0.5), quantile(gaps, 0.99)
-	s.ShortP50Ms, s.ShortP99Ms = quantile(shorts, 0.5), quantile(shorts, 0.99)
+	summary.Resumes = len(resumeDelays)
+	summary.ResumeP50Ms, summary.ResumeP99Ms = quantile(resumeDelays, 0.5), quantile(resumeDelays, 0.99)
+	summary.ShortP50Ms, summary.ShortP99Ms = quantile(shortLatencies, 0.5), quantile(shortLatencies, 0.99)
 	for _, e := range r.cfg.Entries {
-		var st struct {
+		var stats struct {
 			Discarded   int64 `json:"discarded"`
 			Recomputed  int64 `json:"recomputed"`
 			Delivered   int64 `json:"delivered"`
 			TableWrites int64 `json:"tableWrites"`
 		}
 		if resp, err := r.http.Get("http://" + e.Listen + "/debug/stats"); err == nil {
-			json.NewDecoder(resp.Body).Decode(&st)
+			json.NewDecoder(resp.Body).Decode(&stats)
 			resp.Body.Close()
 		}
-		s.ExtraTokens += st.Discarded
-		s.Recomputed += st.Recomputed
-		s.Delivered += st.Delivered
-		s.TableWrites += st.TableWrites
+		summary.ExtraTokens += stats.Discarded
+		summary.Recomputed += stats.Recomputed
+		summary.Delivered += stats.Delivered
+		summary.TableWrites += stats.TableWrites
 	}
 	for _, t := range r.cfg.Targets {
 		if t.Kind != settings.KindService {
@@ -83,34 +83,35 @@
 		}
 		for k, n := range counts {
 			if n > 1 {
-				s.DoubleCharges += n - 1
+				summary.DoubleCharges += n - 1
 			}
 			if notRunKeys[k] && n > mayHaveRun[k] {
-				s.NotRunButRan += n - mayHaveRun[k]
+				summary.NotRunButRan += n - mayHaveRun[k]
 			}
 		}
 	}
-	// The brief's stated outcomes; any count above zero breaks one.
+	// Each of these counts has to be zero.
 	for _, o := range []struct {
 		n    int
 		what string
 	}{
-		{s.Missing, "tokens missing"},
-		{s.Repeated, "tokens repeated"},
-		{s.Mixed, "answers mix two generations"},
-		{s.DoubleCharges, "calls ran twice"},
-		{s.NotRunButRan, "calls said not run had run"},
-		{s.Failed, "requests failed"},
+		{summary.Missing, "tokens missing"},
+		{summary.Repeated, "tokens repeated"},
+		{summary.Mixed, "answers mix two generations"},
+		{summary.DoubleCharges, "calls ran twice"},
+		{summary.NotRunButRan, "calls said not run had run"},
+		{summary.Failed, "requests failed"},
 	} {
 		if o.n > 0 {
-			s.Broken = append(s.Broken, fmt.Sprintf("%d %s", o.n, o.what))
+			summary.Broken = append(summary.Broken, fmt.Sprintf("%d %s", o.n, o.what))
 		}
 	}
-	s.OK = len(s.Broken) == 0
+	summary.OK = len(summary.Broken) == 0
 	sort.Slice(r.results, func(i, j int) bool { return r.results[i].ID < r.results[j].ID })
-	return s
+	return summary
 }
 
+// quantile sorts v and returns its q-quantile, truncated to one decimal.
 func quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return 0
--- a/load/trace.go
+++ b/load/trace.go
@@ -1,11 +1,11 @@
-// Package load replays a recorded trace of requests and faults against a
-// running deployment's entries, checks every answer against the token chain
-// the engines generate, and sums up the brief's measures: answers whole,
-// missing, repeated or mixed tokens, resume latency, short-call latency,
-// extra tokens and calls run twice.
+// Package load replays a trace of requests and faults against the entry instances
+// of a running deployment. It checks every answer against the tokens that the
+// engines generate, and summarises complete answers, missing, repeated and mixed
+// tokens, resume latency, latency of short calls, extra tokens and calls that ran
+// twice.
 //
-// A trace is JSON Lines, one event a line, each with atMs and either a
-// request or a fault:
+// A trace is in JSON Lines. Each line is an event with atMs and either a request
+// or a fault:
 //
 //	{"atMs":120,"request":{"id":"r1","org":"taller-ate","model":"regrind-planner","kind":"long","promptTokens":900,"maxTokens":800}}
 //	{"atMs":300,"request":{"id":"q1","org":"taller-ate","kind":"quote","idempotencyKey":"k1"}}
@@ -23,21 +23,21 @@
 	"sort"
 )
 
-// Fault kinds a trace may hold.
+// Kinds of fault in a trace.
 const (
 	FaultPauseEngine = "pauseEngine"
 	FaultKillEngine  = "killEngine"
 	FaultStoreDown   = "storeDown"
 	FaultStoreSlow   = "storeSlow"
 	FaultLostAck     = "lostAck"
-	FaultPartition   = "partition"  // an agent cut off from the entries
-	FaultPauseAgent  = "pauseAgent" // an agent frozen, its tokens sent late
-	FaultKillEntry   = "killEntry"  // an entry exits at once
+	FaultPartition   = "partition"  // an agent is disconnected from the entry instances
+	FaultPauseAgent  = "pauseAgent" // an agent is paused and sends its tokens late
+	FaultKillEntry   = "killEntry"  // an entry instance exits at once
 )
 
 var (
-	// ErrTrace is wrapped by every error about a trace's content.
-	ErrTrace = errors.New("load: bad trace")
+	// ErrTrace is wrapped by errors about a trace's content.
+	ErrTrace = errors.New("load: invalid trace")
 
 	knownFaults = map[string]bool{
 		FaultPauseEngine: true, FaultKillEngine: true, FaultStoreDown: true, FaultStoreSlow: true,
@@ -45,8 +45,8 @@
 	}
 )
 
-// Only keeps the requests and the faults of the named kinds ("none" keeps
-// no fault), so one trace serves runs with and without each fault class.
+// Only returns the requests and the faults of the named kinds. With the kind
+// "none" it drops all faults.
 func Only(events []Event, kinds []string) []Event {
 	keep := map[string]bool{}
 	for _, k := range kinds {
@@ -69,7 +69,7 @@
 		Fault   *TraceFault   `json:"fault,omitempty"`
 	}
 
-	// TraceRequest is a caller's request in a trace.
+	// TraceRequest is a caller's request.
 	TraceRequest struct {
 		ID             string `json:"id"`
 		Org            string `json:"org"`
@@ -82,9 +82,9 @@
 		Priority       int    `json:"priority,omitempty"`
 	}
 
-	// TraceFault is a fault in a trace. Target names the engine for
-	// engine faults and the key prefix for lostAck (ForMs is then the
-	// number of answers lost).
+	// TraceFault is a fault. Target is the engine or entry instance that it
+	// affects. For lostAck it is a prefix of keys in the store, and ForMs is the
+	// number of lost answers.
 	TraceFault struct {
 		Kind   string `json:"kind"`
 		Target string `json:"target,omitempty"`
@@ -92,7 +92,7 @@
 	}
 )
 
-// ReadTrace reads a trace file; events come back sorted by time.
+// ReadTrace reads a trace file and returns its events sorted by time.
 func ReadTrace(path string) ([]Event, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -106,39 +106,40 @@
 	return ev, nil
 }
 
-// ParseTrace reads a trace; a bad line is an error naming the line.
+// ParseTrace parses a trace and returns its events sorted by time. An error names
+// the invalid line.
 func ParseTrace(r io.Reader) ([]Event, error) {
 	var out []Event
-	sc := bufio.NewScanner(r)
-	sc.Buffer(make([]byte, 64<<10), 1<<20)
-	for n := 1; sc.Scan(); n++ {
-		if len(sc.Bytes()) == 0 {
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 64<<10), 1<<20)
+	for n := 1; scanner.Scan(); n++ {
+		if len(scanner.Bytes()) == 0 {
 			continue
 		}
 		var e Event
-		dec := json.NewDecoder(bytes.NewReader(sc.Bytes()))
-		dec.DisallowUnknownFields()
-		if err := dec.Decode(&e); err != nil {
+		decoder := json.NewDecoder(bytes.NewReader(scanner.Bytes()))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&e); err != nil {
 			return nil, fmt.Errorf("%w: line %d: %v", ErrTrace, n, err)
 		}
-		if err := e.check(); err != nil {
+		if err := e.validate(); err != nil {
 			return nil, fmt.Errorf("%w: line %d: %v", ErrTrace, n, err)
 		}
 		out = append(out, e)
 	}
-	if err := sc.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, err
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].AtMs < out[j].AtMs })
 	return out, nil
 }
 
-func (e Event) check() error {
+func (e Event) validate() error {
 	switch {
 	case e.AtMs < 0:
 		return errors.New("atMs must not be negative")
 	case (e.Request == nil) == (e.Fault == nil):
-		return errors.New("an event holds one request or one fault")
+		return errors.New("an event needs either a request or a fault")
 	case e.Request != nil && e.Request.ID == "":
 		return errors.New("a request needs an id")
 	case e.Request != nil && e.Request.Kind == "long" && e.Request.MaxTokens <= 0:
