--- a/ingress/await_test.go
+++ b/ingress/await_test.go
@@ -60,7 +60,7 @@
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
 			s := &lastTargetSender{appearsAfter: tt.appearsAfter}
-			s.h = modelHandler(t, s, ragworthitch.CallStream)
+			s.h = newTestHandler(t, s, ragworthitch.CallStream)
 			s.h.targetWait = tt.wait
 			startedAt := clock.Now()
 			w, cut := serve(s.h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: startedAt})
@@ -78,7 +78,7 @@
 func TestRouteStallTimeout(t *testing.T) {
 	route := ragworthitch.NewRoute(ragworthitch.RouteParams{Kind: ragworthitch.CallStream, Resumable: true, MaxTargets: 3, Stall: 300 * time.Millisecond})
 	for silence, failsOver := range map[time.Duration]bool{200 * time.Millisecond: false, 310 * time.Millisecond: true} {
-		s := &stream{activeCall: &activeCall{h: modelHandler(t, &modelSender{}, ragworthitch.CallStream), call: &Call{}}}
+		s := &stream{activeCall: &activeCall{h: newTestHandler(t, &faultySender{}, ragworthitch.CallStream), call: &Call{}}}
 		s.grant.Route = &route
 		ms := s.h.targets.Service("llm")
 		a := &attempt{s: s, member: ms[0], intervalObjective: defaultIntervalObjective, headReceived: true, connCheckedAt: clock.Now()}
--- a/ingress/bench_test.go
+++ b/ingress/bench_test.go
@@ -14,8 +14,8 @@
 func BenchmarkPickEngine(b *testing.B) {
 	for _, n := range []int{24, 740} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
-			h := modelHandler(b, &recordingSender{}, ragworthitch.CallStream)
-			for i := range n - modelTargets {
+			h := newTestHandler(b, &recordingSender{}, ragworthitch.CallStream)
+			for i := range n - testTargets {
 				h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint("more-", i), Service: "llm",
 					Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: string(rune('a' + i%3)), Slots: 8}), 0)
 			}
@@ -29,9 +29,9 @@
 				b.Fatal(err)
 			}
 			h.paces.Of("llm").Event(29 * time.Millisecond)
-			j := &activeCall{h: h, call: &Call{Prompt: 5000, Subject: "5c1e"}, grant: g}
+			c := &activeCall{h: h, call: &Call{Prompt: 5000, Subject: "5c1e"}, grant: g}
 			for b.Loop() {
-				j.pickEngine(now, nil)
+				c.pickEngine(now, nil)
 			}
 		})
 	}
--- a/ingress/budget_test.go
+++ b/ingress/budget_test.go
@@ -68,7 +68,7 @@
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
 			s := &pausingSender{pause: 3 * time.Second, unreachable: tt.unreachable}
-			h := modelHandler(t, s, ragworthitch.CallStream)
+			h := newTestHandler(t, s, ragworthitch.CallStream)
 			h.retryBudget = budget.New(budget.Limit{Extra: tt.retries, Span: 10 * time.Second}, nil)
 			w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			assert.False(t, cut)
@@ -84,7 +84,7 @@
 func TestBorrowedRetry(t *testing.T) {
 	bubble(t, "", func(t *testing.T) {
 		s := &pausingSender{pause: 3 * time.Second, unreachable: true}
-		h := modelHandler(t, s, ragworthitch.CallStream)
+		h := newTestHandler(t, s, ragworthitch.CallStream)
 		h.retryBudget = budget.New(budget.Limit{Span: 10 * time.Second}, nil)
 		requests := 0
 		h.borrowRetries = func(_ context.Context, service string) {
@@ -126,7 +126,7 @@
 // a zone outage.
 func TestRefusedConnectionIsNoRetry(t *testing.T) {
 	s := &refusedSender{refusals: 3}
-	h := modelHandler(t, s, ragworthitch.CallStream)
+	h := newTestHandler(t, s, ragworthitch.CallStream)
 	h.retryBudget = budget.New(budget.Limit{Extra: 1, Span: 10 * time.Second}, nil)
 	w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 	assert.False(t, cut)
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -63,7 +63,7 @@
 		Elsewhere bool
 		Header    http.Header // passed on to the caller
 		Body      io.ReadCloser
-		Sized     bool // the end of the body is marked, so that a truncated body is detected
+		Sized     bool // the body has a length or an end mark, so that a truncated body is detected
 		// Events passes the events of the stream to emit until emit returns false. It
 		// returns nil if the target ended the stream. If Events is nil, the body is a
 		// text/event-stream.
@@ -87,9 +87,9 @@
 	RankFirst Rank = iota
 	// RankUsual is for new calls.
 	RankUsual
-	// RankLast is for streams whose next event is late anyway: those that the caller
-	// resumes and whose prompt has to be prefilled again, and new ones that no engine can
-	// start in time. Calls with a higher rank can still be in time.
+	// RankLast is for streams whose next event is late at any engine: streams that the
+	// caller resumes and whose prompt has to be prefilled again, and new streams that no
+	// engine can start in time.
 	RankLast
 )
 
--- a/ingress/copy.go
+++ b/ingress/copy.go
@@ -13,13 +13,13 @@
 // prefilled again.
 const maxReplicaMemoryShare = 0.8
 
-// zoneLossRetention is how long a stream places no replica in a zone where it lost an
+// zoneExclusionTime is how long a stream places no replica in a zone where it lost an
 // attempt. Targets there may accept connections while they restart, but would not hold the
 // replica.
-const zoneLossRetention = 4 * time.Second
+const zoneExclusionTime = 4 * time.Second
 
-// zoneLoss records that a stream lost an attempt in a zone.
-type zoneLoss struct {
+// lostAttempt is the zone and the time at which a stream lost an attempt.
+type lostAttempt struct {
 	zone string
 	at   clock.Time
 }
@@ -32,10 +32,10 @@
 }
 
 // replicaTarget returns the engine that holds the replica, or nil. The replica is held by
-// the engine that was at the address when the attempt was sent, even if its entry became
-// known later. An engine that started later does not hold it; if the engine reports no
-// start time or the clocks differ, the attempt is rejected there. A target of another
-// service that has taken over the address would run the call, so it is excluded.
+// the engine that was at the address when the attempt was sent, even if this instance
+// learned of that engine later. An engine that started later has no replica; if it reports
+// no start time, or the clocks differ, it rejects the attempt. A target of another service
+// that has taken over the address would run the call, so it is excluded.
 func (s *stream) replicaTarget() *registry.Member {
 	if !s.replicaStarted || s.copy.addr == "" {
 		return nil
@@ -47,9 +47,9 @@
 	return m
 }
 
-// placeReplica selects the replica target: an engine in another zone, since engines of one
-// zone often fail together, and if possible in a zone where the stream has lost no attempt
-// recently.
+// placeReplica selects the replica target of an attempt at m and sets its address in o. The
+// replica target is an engine in another zone, since engines of one zone often fail
+// together, and if possible in a zone where the stream has lost no attempt recently.
 func (s *stream) placeReplica(m *registry.Member, o *Order) {
 	s.releaseReplica()
 	s.copy, s.replicaStarted, s.releaseReplica = replicaPlacement{}, false, func() {}
@@ -58,7 +58,7 @@
 	}
 	now, ownZone := clock.Now(), m.Target().Zone()
 	excluded := append(s.tried.list(), m)
-	target := s.pickEngine(now, append(s.recentlyLostZones(now), ownZone), excluded...)
+	target := s.pickEngine(now, append(s.zonesOfLostAttempts(now), ownZone), excluded...)
 	if target == nil {
 		target = s.pickEngine(now, []string{ownZone}, excluded...)
 	}
@@ -73,12 +73,13 @@
 	o.BackupAt = s.copy.addr
 }
 
-// recentlyLostZones returns the zones where the stream has lost an attempt recently.
-func (s *stream) recentlyLostZones(now clock.Time) []string {
+// zonesOfLostAttempts returns the zones where the stream has lost an attempt within
+// zoneExclusionTime.
+func (s *stream) zonesOfLostAttempts(now clock.Time) []string {
 	var zones []string
-	for _, loss := range s.zoneLosses {
-		if now.Sub(loss.at) < zoneLossRetention {
-			zones = append(zones, loss.zone)
+	for _, lost := range s.lostAttempts {
+		if now.Sub(lost.at) < zoneExclusionTime {
+			zones = append(zones, lost.zone)
 		}
 	}
 	return zones
--- a/ingress/copy_test.go
+++ b/ingress/copy_test.go
@@ -16,7 +16,7 @@
 )
 
 // replicaSender breaks the first attempt after an event, once another target has taken
-// over the address of the replica target. It keeps the second order.
+// over the address of the replica target. It records the order of the second attempt.
 type replicaSender struct {
 	h           *Handler
 	service     string // of the target that takes over the address
@@ -61,7 +61,7 @@
 			if tt.started != 0 {
 				s.started = time.Now().Add(tt.started).UnixMilli()
 			}
-			s.h = modelHandler(t, s, ragworthitch.CallStream)
+			s.h = newTestHandler(t, s, ragworthitch.CallStream)
 			w, cut := serve(s.h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			require.False(t, cut)
 			assert.Equal(t, http.StatusOK, w.Code)
@@ -98,7 +98,7 @@
 func TestNoReplicaInFailedZone(t *testing.T) {
 	for range 20 {
 		s := &zoneSender{}
-		h := modelHandler(t, s, ragworthitch.CallStream)
+		h := newTestHandler(t, s, ragworthitch.CallStream)
 		zones := map[string]string{}
 		for _, m := range h.targets.Service("llm") {
 			zones[m.Target().Address()] = m.Target().Zone()
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -44,8 +44,9 @@
 	return true
 }
 
-// takeProbe claims the probe of a quarantined request if one is due: after a while, or at
-// once if the service has targets of a version that the request has not crashed.
+// takeProbe claims the probe of a quarantined request if one is due, and reports whether
+// this call got it. A probe is due when the verdict's wait is over, or at once if the
+// service has targets of a version that the request has not crashed.
 func (c *activeCall) takeProbe(ctx context.Context, v poison.Verdict) bool {
 	safeVersion := func(m *registry.Member) bool { return !v.Ran(m.Target().Version()) }
 	if v.Wait > 0 {
@@ -81,8 +82,8 @@
 	return v, v.Condemned && !c.isProbe
 }
 
-// answerQuarantined answers a quarantined request. The answer is a failure since the
-// request ran at the targets that it crashed; Retry-After tells when a probe is due.
+// answerQuarantined answers a quarantined request. The status is 500, not 503, because the
+// request ran at the targets that it crashed. Retry-After is the time until a probe is due.
 func (c *activeCall) answerQuarantined(v poison.Verdict) {
 	c.h.stats.quarantined.Inc(1)
 	c.h.log.Warn().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("route", c.grant.Route.Name()).Str("org", c.grant.Org).
@@ -99,11 +100,11 @@
 	}
 }
 
-// recordSuccess records that the request ran to its end, or for so long that it is no
-// poison request.
-func (c *activeCall) recordSuccess() {
-	if !c.successRecorded {
-		c.successRecorded = true
+// recordNoCrash records that the request did not crash its target: it ran to an answer of
+// any status, or for too many events to be a poison request.
+func (c *activeCall) recordNoCrash() {
+	if !c.noCrashRecorded {
+		c.noCrashRecorded = true
 		c.h.poisonTracker.RanWell(c.print, clock.Now())
 	}
 }
@@ -119,12 +120,12 @@
 // of an attempt that started at startedAt.
 func (c *activeCall) investigateCrash(m *registry.Member, startedAt clock.Time, events int) {
 	sighting := poison.Sighting{Events: events, Leaving: c.shutdownExpected(m)}
-	if !sighting.Counts() || !lostAfter(m, startedAt) {
+	if !sighting.Counts() || !confirmLost(m, startedAt) {
 		return
 	}
 	t := m.Target()
-	sighting.Zone = c.checkNeighbours(m, func(o ragworthitch.Target) bool { return o.Zone() == t.Zone() })
-	sighting.Service = c.checkNeighbours(m, func(o ragworthitch.Target) bool { return o.Service() == t.Service() })
+	sighting.Zone = c.countLostNeighbours(m, func(o ragworthitch.Target) bool { return o.Zone() == t.Zone() })
+	sighting.Service = c.countLostNeighbours(m, func(o ragworthitch.Target) bool { return o.Service() == t.Service() })
 	c.h.log.Info().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("target", t.ID()).Int("zoneAsked", sighting.Zone.Asked).Int("zoneLost", sighting.Zone.Lost).
 		Int("serviceAsked", sighting.Service.Asked).Int("serviceLost", sighting.Service.Lost).Int("events", events).Bool("together", sighting.Together()).
 		Msg("poison: target crashed soon after an attempt started")
@@ -140,9 +141,9 @@
 	return t.Draining() || m.Life().Err() == nil && c.h.targets.Boot(t.Boot()) != m
 }
 
-// lostAfter waits up to crashConfirmTimeout for the target to be found lost and reports
+// confirmLost waits up to crashConfirmTimeout for the target to be found lost and reports
 // whether it was lost after startedAt.
-func lostAfter(m *registry.Member, startedAt clock.Time) bool {
+func confirmLost(m *registry.Member, startedAt clock.Time) bool {
 	lost := m.Health().Lost()
 	if at, ok := m.Health().FailedLately(clock.Now()); ok && at > startedAt || m.Life().Err() != nil {
 		return true
@@ -157,10 +158,10 @@
 	}
 }
 
-// checkNeighbours checks the connections of some other targets that match, to find out
-// whether they were lost together with the lost one. Targets that were lost earlier, that
-// crashed under a request, or that were sent this call prove nothing.
-func (c *activeCall) checkNeighbours(lost *registry.Member, match func(ragworthitch.Target) bool) poison.Round {
+// countLostNeighbours checks the connections of some other targets that match and counts
+// those that were lost along with the given target. It leaves out targets that were lost
+// earlier, that a poison request may have crashed, or that were sent this call.
+func (c *activeCall) countLostNeighbours(lost *registry.Member, match func(ragworthitch.Target) bool) poison.Round {
 	now := clock.Now()
 	var others []*registry.Member
 	for _, m := range c.h.targets.All() {
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -67,7 +67,7 @@
 	}
 	events := func(emit func(Event) bool) error {
 		after, _ := strconv.Atoi(o.After) // resume offset; empty: none
-		for n := after + 1; n <= modelEvents; n++ {
+		for n := after + 1; n <= streamEvents; n++ {
 			if crashes && n > s.crashAfterEvents {
 				clock.Sleep(ctx, crashDelay)
 				s.crash(o.Member)
@@ -126,15 +126,15 @@
 	return s.attempts[body]
 }
 
-// addTargets adds modelTargets targets of a version, spread over three zones.
+// addTargets adds testTargets targets of a version, spread over three zones.
 func addTargets(h *Handler, version string) {
-	for i := range modelTargets {
+	for i := range testTargets {
 		h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint(version, "-", i), Service: "llm", Version: version,
 			Address: fmt.Sprintf("127.0.0.%d:%d", 2+len(version), 100+i), Zone: string(rune('a' + i%3)), Slots: 8}), 0)
 	}
 }
 
-func crashCall(body string) *Call {
+func newCall(body string) *Call {
 	return &Call{ID: fmt.Sprint("call-", callCount.Add(1)), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Body: []byte(body), Prompt: 10, Output: 100, Received: clock.Now()}
 }
 
@@ -153,19 +153,19 @@
 func TestPoisonStream(t *testing.T) {
 	bubble(t, "", func(t *testing.T) {
 		s := &poisonSender{}
-		h := modelHandler(t, s, ragworthitch.CallStream)
-		w, cut := serve(h, crashCall(poisonBody))
+		h := newTestHandler(t, s, ragworthitch.CallStream)
+		w, cut := serve(h, newCall(poisonBody))
 		assertQuarantined(t, w, cut)
 		assert.Len(t, s.poisonStarts, 3)
 		attempts := s.attemptsOf(poisonBody)
 		startedAt := time.Now()
-		w, cut = serve(h, crashCall(poisonBody))
+		w, cut = serve(h, newCall(poisonBody))
 		assertQuarantined(t, w, cut)
 		assert.Zero(t, time.Since(startedAt))
 		assert.Equal(t, attempts, s.attemptsOf(poisonBody))
-		w, cut = serve(h, crashCall("other"))
+		w, cut = serve(h, newCall("other"))
 		assert.False(t, cut)
-		assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", modelEvents))
+		assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", streamEvents))
 	})
 }
 
@@ -174,21 +174,21 @@
 func TestPoisonStreamAfterFirstEvent(t *testing.T) {
 	bubble(t, "", func(t *testing.T) {
 		s := &poisonSender{crashAfterEvents: 1}
-		h := modelHandler(t, s, ragworthitch.CallStream)
-		w, cut := serve(h, crashCall(poisonBody))
+		h := newTestHandler(t, s, ragworthitch.CallStream)
+		w, cut := serve(h, newCall(poisonBody))
 		assert.True(t, cut)
 		assert.Contains(t, w.Body.String(), "id: 1\n")
 		assert.Len(t, s.poisonStarts, 3)
-		c := crashCall(poisonBody)
+		c := newCall(poisonBody)
 		c.After = "1"
 		w, cut = serve(h, c)
 		assertQuarantined(t, w, cut)
 	})
 }
 
-// Attempts that wait at their targets when their request is quarantined end before they
-// start, also at a peer that got the report, and also if many start at the same moment and
-// crash their targets together as in a zone outage.
+// When a request is quarantined, its attempts that have not begun at their targets end
+// there, also those of a peer, and also if many attempts crash their targets at the same
+// moment as in a zone outage.
 func TestWaitingAttemptsEnd(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -202,10 +202,10 @@
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
 			s := &poisonSender{}
-			h, other := modelHandler(t, s, ragworthitch.CallStream), modelHandler(t, s, ragworthitch.CallStream)
-			other.poisonTracker = h.poisonTracker
+			h, peer := newTestHandler(t, s, ragworthitch.CallStream), newTestHandler(t, s, ragworthitch.CallStream)
+			peer.poisonTracker = h.poisonTracker
 			addTargets(h, "v1")
-			addTargets(other, "v1")
+			addTargets(peer, "v1")
 			quarantined, _ := h.poisonTracker.Await(poison.Of("", "POST", "h", "/p/x", []byte(poisonBody)))
 			quarantinedAt := make(chan time.Time, 1)
 			go func() {
@@ -216,7 +216,7 @@
 			for i := range tt.calls {
 				group.Go(func() {
 					clock.Sleep(t.Context(), time.Duration(i)*tt.spacing)
-					w, cut := serve([]*Handler{h, other}[i%2], crashCall(poisonBody))
+					w, cut := serve([]*Handler{h, peer}[i%2], newCall(poisonBody))
 					assertQuarantined(t, w, cut)
 				})
 			}
@@ -234,9 +234,9 @@
 // draining.
 func TestUnrelatedLossNotBlamed(t *testing.T) {
 	tests := []struct {
-		name    string
-		before  func(s *poisonSender, h *Handler, m *registry.Member)
-		crashes int
+		name       string
+		loseTarget func(s *poisonSender, h *Handler, m *registry.Member)
+		crashes    int
 	}{
 		{"one target crashes", func(s *poisonSender, _ *Handler, m *registry.Member) { s.crash(m) }, 1},
 		{"its zone fails", func(s *poisonSender, h *Handler, m *registry.Member) {
@@ -256,15 +256,15 @@
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
 			s := &poisonSender{}
-			h := modelHandler(t, s, ragworthitch.CallStream)
+			h := newTestHandler(t, s, ragworthitch.CallStream)
 			addTargets(h, "v1")
-			c := crashCall("harmless")
+			c := newCall("harmless")
 			print := poison.Of("", c.Method, c.Host, c.Path, c.Body)
 			go func() {
 				time.Sleep(crashHeadDelay + crashEventInterval/2)
 				for _, m := range h.targets.All() {
 					if m.Work().Own().Running > 0 {
-						tt.before(s, h, m)
+						tt.loseTarget(s, h, m)
 					}
 				}
 				time.Sleep(crashEventInterval + time.Millisecond)
@@ -272,7 +272,7 @@
 			}()
 			w, cut := serve(h, c)
 			assert.False(t, cut)
-			assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", modelEvents))
+			assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", streamEvents))
 			assert.Equal(t, poison.Verdict{}, h.poisonTracker.Judge(print, clock.Now()), "released by a successful attempt")
 		})
 	}
@@ -280,8 +280,8 @@
 
 // quarantinedHandler returns a handler that knows the poison request as quarantined.
 func quarantinedHandler(t *testing.T, s *poisonSender) *Handler {
-	h := modelHandler(t, s, ragworthitch.CallStream)
-	c := crashCall(poisonBody)
+	h := newTestHandler(t, s, ragworthitch.CallStream)
+	c := newCall(poisonBody)
 	for i := range 3 {
 		h.poisonTracker.Died(poison.Death{Print: poison.Of("", c.Method, c.Host, c.Path, c.Body), Boot: ragworthitch.NewBoot(fmt.Sprint("x", i), 0), Service: "llm", Version: "v1"},
 			poison.SourcePeer, clock.Now())
@@ -299,7 +299,7 @@
 		var group sync.WaitGroup
 		for range 300 {
 			group.Go(func() {
-				w, _ := serve(h, crashCall(poisonBody))
+				w, _ := serve(h, newCall(poisonBody))
 				assert.NotEqual(t, http.StatusOK, w.Code)
 			})
 		}
@@ -311,15 +311,15 @@
 // A request that was quarantined by mistake is released by a successful probe.
 func TestSuccessfulProbeReleases(t *testing.T) {
 	bubble(t, "", func(t *testing.T) {
-		s := &poisonSender{crashAfterEvents: modelEvents}
+		s := &poisonSender{crashAfterEvents: streamEvents}
 		h := quarantinedHandler(t, s)
-		w, cut := serve(h, crashCall(poisonBody))
+		w, cut := serve(h, newCall(poisonBody))
 		assertQuarantined(t, w, cut)
 		time.Sleep(31 * time.Second)
 		for range 2 {
-			w, cut = serve(h, crashCall(poisonBody))
+			w, cut = serve(h, newCall(poisonBody))
 			assert.False(t, cut)
-			assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", modelEvents))
+			assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", streamEvents))
 		}
 	})
 }
@@ -331,12 +331,12 @@
 		s := &poisonSender{}
 		h := quarantinedHandler(t, s)
 		addTargets(h, "v1")
-		w, cut := serve(h, crashCall(poisonBody))
+		w, cut := serve(h, newCall(poisonBody))
 		assertQuarantined(t, w, cut)
 		addTargets(h, fixedVersion)
-		w, cut = serve(h, crashCall(poisonBody))
+		w, cut = serve(h, newCall(poisonBody))
 		assert.False(t, cut)
-		assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", modelEvents))
+		assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", streamEvents))
 		assert.Empty(t, s.poisonStarts)
 	})
 }
@@ -347,9 +347,9 @@
 	for _, kind := range []ragworthitch.CallKind{ragworthitch.CallUnsafe, ragworthitch.CallSafe} {
 		bubble(t, kind.String(), func(t *testing.T) {
 			s := &poisonSender{}
-			h := modelHandler(t, s, kind)
+			h := newTestHandler(t, s, kind)
 			call := func() *Call {
-				c := crashCall(poisonBody)
+				c := newCall(poisonBody)
 				c.Prompt = 0
 				return c
 			}
--- a/ingress/dialling_test.go
+++ b/ingress/dialling_test.go
@@ -66,7 +66,7 @@
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
 			s := tt.s
-			s.h = modelHandler(t, &s, tt.kind)
+			s.h = newTestHandler(t, &s, tt.kind)
 			w, cut := serve(s.h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Received: clock.Now()})
 			assert.False(t, cut)
 			assert.Equal(t, tt.status, w.Code)
--- a/ingress/guard.go
+++ b/ingress/guard.go
@@ -12,9 +12,9 @@
 // not at fault and keeps its other calls.
 var errPanic = errors.New("ingress: panic")
 
-// catchPanic runs f, a part of a call in a goroutine of its own, and returns its panic as
-// an error. Otherwise the panic would end this instance with all its calls, and a retry of
-// the call would end another one.
+// catchPanic runs f, which handles a call, and returns a panic of f as an error. Without
+// this, a panic in a goroutine would end the instance with all its calls, and the caller's
+// retry would end another instance.
 func (h *Handler) catchPanic(requestID string, f func()) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/ingress/guard_test.go
+++ b/ingress/guard_test.go
@@ -49,14 +49,14 @@
 	}
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
-			h := modelHandler(t, panickingSender{tt.reading}, tt.kind)
-			w, cut := serve(h, crashCall(poisonBody))
+			h := newTestHandler(t, panickingSender{tt.reading}, tt.kind)
+			w, cut := serve(h, newCall(poisonBody))
 			assert.True(t, cut || w.Code == http.StatusBadGateway, "status %d", w.Code)
 			synctest.Wait()
 			for _, m := range h.targets.All() {
 				assert.True(t, m.Takes(clock.Now()), "%s is ejected for this process's panic", m.Target().ID())
 			}
-			w, cut = serve(h, crashCall("other"))
+			w, cut = serve(h, newCall("other"))
 			assert.False(t, cut)
 			assert.Equal(t, http.StatusOK, w.Code)
 		})
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -57,15 +57,15 @@
 		rollouts       *rollout.Book
 		claimProbe     func(ctx context.Context, t poison.Trial) bool
 		isReady        func() bool
-		links          health.Links
-		paces          pace.Services
-		fixedPace      *pace.Pace // nil: speeds are learned
+		links          health.Links  // packet loss on the way to each zone
+		paces          pace.Services // learned speeds of the engines of each service
+		fixedPace      *pace.Pace    // nil: speeds are learned
 		log            zerolog.Logger
 		stats          stats
 
 		draining      atomic.Bool
 		drainDeadline atomic.Int64 // clock.Time at which a draining instance ends its streams
-		active        atomic.Int64
+		active        atomic.Int64 // calls in progress
 	}
 
 	// EnginePolicy selects among model engines.
@@ -87,15 +87,15 @@
 		// Borrow requests retries of a service from peers for the retry budget and returns
 		// when the requests have completed; nil: no peers.
 		Borrow func(ctx context.Context, service string)
-		// Crashes tracks poison requests; nil: a tracker of this handler's own. Claim
-		// claims the probe of a quarantined request and reports whether this instance got
-		// it; nil: claims it in Crashes only.
+		// Crashes tracks poison requests; nil: a tracker of this handler's own.
 		Crashes *poison.Book
 		// Rollouts tracks the roll-outs of services; nil: none.
 		Rollouts *rollout.Book
-		Claim    func(ctx context.Context, t poison.Trial) bool
-		Log      zerolog.Logger
-		Scope    tally.Scope
+		// Claim claims the probe of a quarantined request and reports whether this
+		// instance got it; nil: claims it in Crashes only.
+		Claim func(ctx context.Context, t poison.Trial) bool
+		Log   zerolog.Logger
+		Scope tally.Scope
 	}
 )
 
--- a/ingress/job.go
+++ b/ingress/job.go
@@ -27,14 +27,14 @@
 	grant      desired.Grant
 	print      poison.Fingerprint // identifies the request, also when the caller repeats it
 	deadline   clock.Time
-	attempts   int  // attempts that reached a target or may have
-	mayHaveRun bool // an attempt may have run
-	tried      memberList
+	attempts   int        // attempts that reached a target or may have
+	mayHaveRun bool       // a target may have run the call
+	tried      memberList // targets of the attempts so far
 	// retryReserved means that the next retry is already taken out of the retry budget.
 	retryReserved   bool
 	isProbe         bool                        // the request is quarantined, and this call is its probe
 	targetFilter    func(*registry.Member) bool // selects the targets that may get the call; nil: all
-	successRecorded bool                        // a successful attempt has been reported to the poison tracker
+	noCrashRecorded bool                        // recordNoCrash has been called
 	lane            rollout.Lane                // the call's part in a roll-out of its service
 }
 
@@ -43,9 +43,10 @@
 
 func (c *activeCall) service() string { return c.grant.Service.Name() }
 
-// mayRetry reports whether the call may be sent to one more target. The first attempt
-// always may; a retry takes a target that the route allows and a retry of the budget.
-func (c *activeCall) mayRetry(ctx context.Context) bool {
+// permitAttempt reports whether the call may be sent to one more target. The first attempt
+// is always permitted. A retry must be within the route's maximum number of targets, and
+// spends a retry of the retry budget.
+func (c *activeCall) permitAttempt(ctx context.Context) bool {
 	if c.attempts == 0 {
 		return true
 	}
@@ -70,9 +71,9 @@
 	return c.retryReserved
 }
 
-// attemptNotSent takes back an attempt that has not reached its target. A retry that was
+// revertAttempt takes back an attempt that has not reached its target. A retry that was
 // spent on the attempt stays reserved for the next one.
-func (c *activeCall) attemptNotSent() {
+func (c *activeCall) revertAttempt() {
 	c.attempts--
 	c.retryReserved = c.retryReserved || c.attempts > 0
 }
@@ -86,9 +87,9 @@
 	return c.reserveRetry(clock.Now())
 }
 
-// pickPlain selects a target of a plain service, or nil.
+// pickPlain selects a target of a plain service; nil: none.
 func (c *activeCall) pickPlain(now clock.Time) *registry.Member {
-	return c.pickPlaced(now, c.placement(now), func(ms []*registry.Member) *registry.Member { return c.pickPlainFrom(ms, now) })
+	return c.pickByPlacement(now, c.placement(now), func(ms []*registry.Member) *registry.Member { return c.pickPlainFrom(ms, now) })
 }
 
 func (c *activeCall) pickPlainFrom(ms []*registry.Member, now clock.Time) *registry.Member {
@@ -105,15 +106,15 @@
 	return nil
 }
 
-// pickEngine selects a model engine outside the excluded zones and targets, or nil.
+// pickEngine selects a model engine outside the excluded zones and targets; nil: none.
 func (c *activeCall) pickEngine(now clock.Time, excludedZones []string, excluded ...*registry.Member) *registry.Member {
-	return c.pickPlaced(now, c.placement(now), func(ms []*registry.Member) *registry.Member {
+	return c.pickByPlacement(now, c.placement(now), func(ms []*registry.Member) *registry.Member {
 		return c.pickEngineFrom(ms, now, excludedZones, excluded)
 	})
 }
 
 func (c *activeCall) pickEngineFrom(ms []*registry.Member, now clock.Time, excludedZones []string, excluded []*registry.Member) *registry.Member {
-	zoneOutages := c.zoneOutageProbability(ms, now)
+	outageProbability := c.zoneOutageProbability(ms, now)
 	preferred := c.preferredWeights(ms, now)
 	p := c.pace()
 	usualPrompt := p.Prompt
@@ -127,7 +128,7 @@
 		load, interval := m.Work().All(), c.interval(m, p, now)
 		candidates[i] = route.EngineCandidate{Takes: c.mayReceive(m, now), Backlog: float64(load.Prefill) / usualPrompt, Running: load.Running, Memory: memoryShare(load.Tokens, c.grant.Service.Engine()),
 			Slow: slowness(interval, p), Answer: generation,
-			Late: c.firstEventLate(load, interval, p, now), Errors: m.Health().Errors(now), SameZone: t.Zone() == c.h.zone, Trouble: zoneOutages[t.Zone()],
+			Late: c.firstEventLate(load, interval, p, now), Errors: m.Health().Errors(now), SameZone: t.Zone() == c.h.zone, Trouble: outageProbability[t.Zone()],
 			Loss: c.h.links.Loss(t.Zone(), now), Cold: m.Cold(now),
 			Home: preferred[i], Back: c.call.After != "",
 			Barred: slices.Contains(excludedZones, t.Zone()) || slices.Contains(excluded, m), Jitter: rand.Float64()}
@@ -146,7 +147,7 @@
 	return objective > 0 && expected > objective-now.Sub(c.call.Received)
 }
 
-// pace returns the learned speeds of the call's service.
+// pace returns the speeds of the call's service, as learned or as fixed by Config.Speeds.
 func (c *activeCall) pace() pace.Pace {
 	if c.h.fixedPace != nil {
 		return *c.h.fixedPace
@@ -156,11 +157,12 @@
 
 // interval returns the expected event interval at m; 0 if unknown.
 func (c *activeCall) interval(m *registry.Member, p pace.Pace, now clock.Time) time.Duration {
-	return c.intervalOr(m, p.Gap, now)
+	return c.intervalFromUsual(m, p.Gap, now)
 }
 
-// intervalOr is like interval, given only the usual event interval of the service.
-func (c *activeCall) intervalOr(m *registry.Member, usual time.Duration, now clock.Time) time.Duration {
+// intervalFromUsual is like interval, but takes only the usual event interval of the
+// service, not its whole pace.
+func (c *activeCall) intervalFromUsual(m *registry.Member, usual time.Duration, now clock.Time) time.Duration {
 	if c.h.fixedPace != nil {
 		return c.h.fixedPace.Gap
 	}
@@ -238,7 +240,7 @@
 
 // checkZoneNeighbours checks the connections of the other targets in the zone of an
 // ejected one that have work of this instance. Targets of a zone often fail together, and
-// the calls at the others then need not wait for their own timeouts.
+// the calls at these targets then need not wait for their own timeouts.
 func (c *activeCall) checkZoneNeighbours(ejected *registry.Member) {
 	now := clock.Now()
 	for _, m := range c.h.targets.Service(ejected.Target().Service()) {
@@ -266,7 +268,7 @@
 	startedAt := clock.Now()
 	err := c.h.sender.Probe(context.Background(), m)
 	if err != nil && timerOverran(upstream.DialTimeout, clock.Now().Sub(startedAt)) {
-		return nil // this process was stalled: the answer may be waiting to be read
+		return nil // this process was suspended: the answer may be waiting to be read
 	}
 	return err
 }
--- a/ingress/model_test.go
+++ b/ingress/model_test.go
@@ -28,23 +28,23 @@
 )
 
 const (
-	modelEvents  = 12
-	modelTargets = 6
-	maxTargets   = 4
+	streamEvents = 12 // events of a complete stream
+	testTargets  = 6  // targets that newTestHandler adds
+	maxTargets   = 4  // attempts that the route allows
 )
 
 var errBroken = errors.New("connection reset")
 
-// modelSender answers at random like failing engines: complete, cut off at any byte,
+// faultySender answers at random like failing engines: complete, cut off at any byte,
 // refused, as another target, or with events out of sequence.
-type modelSender struct {
+type faultySender struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	started int // attempts that a target has started to run
 	reached int // attempts that reached a target
 }
 
-func (m *modelSender) Send(ctx context.Context, o *Order) (*Reply, error) {
+func (m *faultySender) Send(ctx context.Context, o *Order) (*Reply, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ctx.Err() != nil {
@@ -72,7 +72,7 @@
 }
 
 // startedCount returns the number of attempts that a target has started to run.
-func (m *modelSender) startedCount() int {
+func (m *faultySender) startedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.started
@@ -80,16 +80,16 @@
 
 // stream returns the events after the resume offset or, as an engine with a fault, from
 // another offset; complete or cut off at any byte.
-func (m *modelSender) stream(o *Order) io.ReadCloser {
+func (m *faultySender) stream(o *Order) io.ReadCloser {
 	lastEvent, _ := strconv.Atoi(o.After) // empty: from the start
 	switch fault := m.rng.IntN(8); {
 	case fault == 0:
 		lastEvent = max(0, lastEvent-1-m.rng.IntN(3)) // repeats events that the caller has
-	case fault == 1 && lastEvent > 0 && lastEvent < modelEvents-2: // without any event the gap could not be detected
+	case fault == 1 && lastEvent > 0 && lastEvent < streamEvents-2: // without any event the gap could not be detected
 		lastEvent += 1 + m.rng.IntN(2) // leaves a gap
 	}
 	var b strings.Builder
-	for n := lastEvent + 1; n <= modelEvents; n++ {
+	for n := lastEvent + 1; n <= streamEvents; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s/%d\n\n", n, o.Call.ID, n)
 	}
 	if m.rng.IntN(2) == 0 || b.Len() == 0 {
@@ -105,9 +105,9 @@
 // Read fails like a reset connection.
 func (brokenReader) Read([]byte) (int, error) { return 0, errBroken }
 
-// modelHandler returns a handler with unreachable targets in three zones. All attempts go
+// newTestHandler returns a handler with unreachable targets in three zones. All attempts go
 // to s.
-func modelHandler(t testing.TB, s Sender, kind ragworthitch.CallKind) *Handler {
+func newTestHandler(t testing.TB, s Sender, kind ragworthitch.CallKind) *Handler {
 	d, err := ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: 1,
 		Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: "llm",
 			Engine: &ragworthitch.Engine{Slots: 8, KVTokens: 80000, Backups: true, Stride: 10}})},
@@ -119,7 +119,7 @@
 	book.Apply(d)
 	book.Proved(clock.Now())
 	var targets registry.Registry
-	for i := range modelTargets {
+	for i := range testTargets {
 		targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint("i-", i), Service: "llm",
 			Address: fmt.Sprintf("127.0.0.1:%d", 1+i), Zone: string(rune('a' + i%3)), Slots: 8}), 0)
 	}
@@ -140,16 +140,16 @@
 // cut off is complete.
 func FuzzStream(f *testing.F) {
 	for seed := range uint64(300) {
-		f.Add(seed, uint8(seed%(modelEvents+1)))
+		f.Add(seed, uint8(seed%(streamEvents+1)))
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, after uint8) {
-		s := &modelSender{rng: rand.New(rand.NewPCG(seed, 2))}
-		first := int(after) % (modelEvents + 1)
+		s := &faultySender{rng: rand.New(rand.NewPCG(seed, 2))}
+		first := int(after) % (streamEvents + 1)
 		c := &Call{ID: "call", Method: "POST", Host: "h", URI: "/p/x", Path: "/p/x", Header: http.Header{}, Prompt: 10, Output: 100, Received: clock.Now()}
 		if first > 0 {
 			c.After = strconv.Itoa(first)
 		}
-		w, cut := serve(modelHandler(t, s, ragworthitch.CallStream), c)
+		w, cut := serve(newTestHandler(t, s, ragworthitch.CallStream), c)
 		checkStream(t, w, cut, first)
 		require.LessOrEqual(t, s.startedCount(), maxTargets)
 		if w.Code == http.StatusServiceUnavailable && !cut {
@@ -175,7 +175,7 @@
 		rest = rest[len(m[0]):]
 	}
 	if !cut {
-		require.Equal(t, modelEvents, lastEvent, "a truncated answer looks complete")
+		require.Equal(t, streamEvents, lastEvent, "a truncated answer looks complete")
 	}
 }
 
@@ -186,8 +186,8 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		s := &modelSender{rng: rand.New(rand.NewPCG(seed, 3))}
-		w, _ := serve(modelHandler(t, s, ragworthitch.CallUnsafe), &Call{ID: "call", Method: "POST", Host: "h", URI: "/p/x", Path: "/p/x",
+		s := &faultySender{rng: rand.New(rand.NewPCG(seed, 3))}
+		w, _ := serve(newTestHandler(t, s, ragworthitch.CallUnsafe), &Call{ID: "call", Method: "POST", Host: "h", URI: "/p/x", Path: "/p/x",
 			Header: http.Header{}, Received: clock.Now()})
 		require.LessOrEqual(t, s.startedCount(), 1)
 		switch w.Code {
@@ -219,4 +219,4 @@
 }
 
 // Probe fails.
-func (*modelSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+func (*faultySender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
--- a/ingress/needs.go
+++ b/ingress/needs.go
@@ -28,11 +28,11 @@
 	return admit.Stream{Pace: s.pace(), Gap: interval, Left: s.remaining(clock.Now()), Prompt: prompt, Backlog: backlog, Output: s.call.Output, Stride: s.tokensPerEvent(), After: s.lastID}
 }
 
-// rank returns the priority of the stream's next attempt at m. A stream of which the
-// caller has a part comes first if it can resume soon. A resumed stream whose prefix is
-// not cached is late already, and so is one that is late even at the best engine m: both
-// yield to streams that can still be in time. Otherwise, under overload, every stream
-// would be late.
+// rank returns the priority of the stream's next attempt, at the selected engine m. A
+// stream comes first if the caller already has the head of the answer, or resumes it where
+// its prefix is cached. A stream that the caller resumes elsewhere, or whose first event
+// would be late even at m, yields to streams that can still be in time. Without this,
+// under overload, every stream would be late.
 func (s *stream) rank(m *registry.Member) Rank {
 	if s.headSent || s.prefixCached(m) {
 		return RankFirst
@@ -56,8 +56,8 @@
 
 // prefillTokens returns how many tokens m has to prefill for the next attempt: none with a
 // replica, otherwise the events so far, and the prompt unless its prefix is cached.
-func (s *stream) prefillTokens(m, replica *registry.Member) int {
-	if replica != nil {
+func (s *stream) prefillTokens(m, replicaTarget *registry.Member) int {
+	if replicaTarget != nil {
 		return 0
 	}
 	generated := int(s.lastID) * s.tokensPerEvent()
--- a/ingress/pace_test.go
+++ b/ingress/pace_test.go
@@ -10,8 +10,8 @@
 	"github.com/ragworthitch/ragworthitch/clock"
 )
 
-// A late event followed by a burst shows a lost packet. A late event alone is due to a
-// prefill at the engine and must not count as loss.
+// A late event followed by a burst counts as a lost packet. A late event alone comes from
+// a prefill at the engine and must not count.
 func TestEventTimingShowsPacketLoss(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -26,7 +26,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := modelHandler(t, &modelSender{}, ragworthitch.CallStream)
+			h := newTestHandler(t, &faultySender{}, ragworthitch.CallStream)
 			s := &stream{activeCall: &activeCall{h: h, call: &Call{}}}
 			m := h.targets.Service("llm")[0]
 			a := &attempt{s: s, member: m}
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -26,8 +26,8 @@
 	// minHedgeDelay prevents hedging of every call on routes with a very low objective.
 	minHedgeDelay  = 40 * time.Millisecond
 	maxAnswerBytes = 8 << 20
-	// hungAfter is the time without an answer after which a call that was cancelled counts
-	// as a failure of its target.
+	// hungAfter is the time without an answer after which a cancelled attempt counts as a
+	// failure of its target.
 	hungAfter = 400 * time.Millisecond
 )
 
@@ -54,7 +54,7 @@
 			return false
 		}
 		m := c.pickPlain(clock.Now())
-		if m == nil || !c.mayRetry(ctx) {
+		if m == nil || !c.permitAttempt(ctx) {
 			return false
 		}
 		dials++
@@ -118,7 +118,7 @@
 func (c *activeCall) deliver(result attemptResult) bool {
 	switch {
 	case result.err != nil && errors.Is(result.err, upstream.ErrNotSent):
-		c.attemptNotSent()
+		c.revertAttempt()
 		return false
 	case result.err != nil:
 		c.mayHaveRun = true
@@ -127,7 +127,7 @@
 		return false
 	}
 	c.mayHaveRun = true
-	c.recordSuccess()
+	c.recordNoCrash()
 	if result.reply.isFailure() {
 		return false
 	}
--- a/ingress/probe_test.go
+++ b/ingress/probe_test.go
@@ -80,7 +80,7 @@
 		bubble(t, tt.name, func(t *testing.T) {
 			s := &quietSender{silence: tt.silence}
 			startedAt := clock.Now()
-			w, cut := serve(modelHandler(t, s, ragworthitch.CallStream), &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x",
+			w, cut := serve(newTestHandler(t, s, ragworthitch.CallStream), &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x",
 				Header: http.Header{}, Prompt: 10, Received: startedAt})
 			assert.False(t, cut)
 			assert.Equal(t, http.StatusOK, w.Code)
--- a/ingress/return_test.go
+++ b/ingress/return_test.go
@@ -29,8 +29,8 @@
 // instance prefers the same target.
 func TestResumedStreamUsesCachedPrefix(t *testing.T) {
 	s := &addressSender{}
-	h := modelHandler(t, s, ragworthitch.CallStream)
-	for i := range modelTargets {
+	h := newTestHandler(t, s, ragworthitch.CallStream)
+	for i := range testTargets {
 		addr := fmt.Sprintf("127.0.0.1:%d", 1+i)
 		subject := fmt.Sprint("subject-", i)
 		h.cacheLocations.Heard(recall.Place{Subject: subject, Engine: h.targets.At(addr).Target().Boot()}, clock.Now())
--- a/ingress/run.go
+++ b/ingress/run.go
@@ -21,17 +21,17 @@
 type (
 	// attempt is one send of a stream to one target.
 	attempt struct {
-		s                 *stream
-		member, replica   *registry.Member // replica: the replica target it resumes from; nil: none
-		startedAt         clock.Time
-		sentWallTime      time.Time     // wall clock, as in the start times that targets report
-		lastActivityAt    clock.Time    // when something was last received
-		connCheckedAt     clock.Time    // when the connection to the target was last checked
-		intervalObjective time.Duration // objective of the route
-		rank              Rank          // priority at the target
-		prefillTokens     int           // tokens to prefill for this attempt
-		fromStart         bool          // it neither resumes the stream nor uses a replica
-		prefillBacklog    int           // tokens to prefill before it at the target when it was sent
+		s                     *stream
+		member, replicaTarget *registry.Member // replicaTarget: holds the replica that the attempt resumes from; nil: none
+		startedAt             clock.Time
+		sentWallTime          time.Time     // wall clock, as in the start times that targets report
+		lastActivityAt        clock.Time    // when something was last received
+		connCheckedAt         clock.Time    // when the connection to the target was last checked
+		intervalObjective     time.Duration // objective of the route
+		rank                  Rank          // priority at the target
+		prefillTokens         int           // tokens to prefill for this attempt
+		fromStart             bool          // the attempt neither resumes the stream nor uses a replica
+		prefillBacklog        int           // tokens that the target had to prefill first when the attempt was sent
 		// expectedAtSend is the time to first event expected from the service's usual
 		// speed; 0 if unknown.
 		expectedAtSend time.Duration
@@ -49,13 +49,14 @@
 		headReceived     bool
 		headReceivedAt   clock.Time
 		targetLost       bool // the target was found lost, and nothing has been received since
-		overBudgetLogged bool // it has been logged that the retry budget allows no failover
+		overBudgetLogged bool // the exhausted retry budget has been logged
 		decodeIntervals  decodeIntervals
 		speedRecorded    bool // the speed of the target's version has been recorded
 		failureRecorded  bool // a failure of the target's version has been recorded
 	}
 
-	// readResult is what the reader goroutine receives: a head, an event or the end.
+	// readResult is one thing received from the target: the head of the answer, an event
+	// or the end. If the answer is no stream, the event's Raw is the whole body.
 	readResult struct {
 		reply  *Reply
 		event  Event
@@ -71,8 +72,9 @@
 	errBootEnded    = errors.New("ingress: target's boot has ended")
 )
 
-// read sends the attempt and passes on what is received.
-func (a *attempt) read(ctx context.Context, o *Order) {
+// sendCatchingPanic is like send, with a.results as the receiver. It passes on a panic as
+// the error that ends the attempt.
+func (a *attempt) sendCatchingPanic(ctx context.Context, o *Order) {
 	emitResult := func(result readResult) bool {
 		select {
 		case a.results <- result:
@@ -81,7 +83,7 @@
 			return false
 		}
 	}
-	if err := a.s.h.catchPanic(a.s.call.ID, func() { a.receive(ctx, o, emitResult) }); err != nil {
+	if err := a.s.h.catchPanic(a.s.call.ID, func() { a.send(ctx, o, emitResult) }); err != nil {
 		select {
 		case a.sendResult <- err:
 		default: // the result is there already
@@ -90,8 +92,8 @@
 	}
 }
 
-// receive sends the attempt and passes what is received to emitResult.
-func (a *attempt) receive(ctx context.Context, o *Order, emitResult func(readResult) bool) {
+// send sends the attempt and passes everything received from the target to emitResult.
+func (a *attempt) send(ctx context.Context, o *Order, emitResult func(readResult) bool) {
 	reply, err := a.s.h.sender.Send(ctx, o)
 	a.sendResult <- err
 	if err != nil {
@@ -126,7 +128,7 @@
 		return err
 	}
 	if sendErr := <-a.sendResult; errors.Is(sendErr, upstream.ErrNotSent) {
-		a.s.attemptNotSent()
+		a.s.revertAttempt()
 		return fmt.Errorf("%w: %w", upstream.ErrNotSent, err)
 	}
 	return err
@@ -176,7 +178,7 @@
 			}
 		case <-lost:
 			now := clock.Now()
-			if a.hasRetry(ctx, now) {
+			if a.reserveFailover(ctx, now) {
 				return errTargetLost
 			}
 			lost, a.targetLost = nil, true
@@ -186,12 +188,12 @@
 			if !a.headReceived {
 				return errQuarantined
 			}
-			quarantined = nil // the result of this attempt decides
+			quarantined = nil // the attempt has begun and goes on
 		case <-bootEnded:
 			if a.member.Lost(a.sentWallTime) {
 				return errBootEnded
 			}
-			bootEnded = nil // the target's next boot has the attempt
+			bootEnded = nil // the target's next boot received the attempt
 		case <-timer.C:
 			now := clock.Now()
 			if timerOverran(wait, now.Sub(timerSetAt)) {
@@ -218,7 +220,7 @@
 	a.events++
 	s.totalEvents++
 	if !poison.Young(s.totalEvents) {
-		s.recordSuccess()
+		s.recordNoCrash()
 	}
 	s.replicaStarted = true
 	if event.ID != 0 {
@@ -254,7 +256,7 @@
 	s, now := a.s, clock.Now()
 	switch {
 	case result.err != nil && errors.Is(result.err, upstream.ErrNotSent):
-		s.attemptNotSent()
+		s.revertAttempt()
 		if ctx.Err() == nil {
 			s.eject(a.member, health.CauseRefused, result.err)
 		}
@@ -292,7 +294,7 @@
 func (a *attempt) finishWithoutStream(head *Reply, body []byte) error {
 	s := a.s
 	s.mayHaveRun = true
-	s.recordSuccess()
+	s.recordNoCrash()
 	a.member.Health().Answered(clock.Now(), 0, head.isFailure())
 	s.recordSymptom(a.member, rollout.Failing, head.isFailure())
 	a.failureRecorded = true
--- a/ingress/run_test.go
+++ b/ingress/run_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An instance that was stalled itself does not take its targets for silent.
+// An instance that was itself suspended must not count its targets as silent.
 func TestTimerOverran(t *testing.T) {
 	for _, tt := range []struct {
 		planned, actual time.Duration
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -13,7 +13,7 @@
 	defaultIntervalObjective = 700 * time.Millisecond
 	// After connCheckShare without an event the instance checks that the target still
 	// accepts connections, or after decodeConnCheckShare while the target prefills no
-	// prompt, when events come more often.
+	// prompt, since events come more often then.
 	connCheckShare       = 0.43
 	decodeConnCheckShare = 0.21
 	// After replicaFailoverShare without an event a stream with a replica fails over
@@ -43,11 +43,11 @@
 	// maxTimerDelay is how late a timer may fire on a busy machine.
 	maxTimerDelay = 250 * time.Millisecond
 	// A lost packet delays all events until it is retransmitted, after which they arrive
-	// in a burst. An event stallIntervals or more usual intervals after the one before,
-	// followed by another one within burstIntervals, shows such a loss: an engine does not
-	// generate events that fast.
-	stallIntervals = 2.5
-	burstIntervals = 0.27
+	// in a burst. An event that comes lateEventIntervals or more usual intervals after the
+	// previous event, followed by another event within burstIntervals, shows such a loss:
+	// an engine does not generate events that fast.
+	lateEventIntervals = 2.5
+	burstIntervals     = 0.27
 	// firstEventSampleAt is the number of the event at which the time to first event is
 	// learned, since the engine's event interval is known by then.
 	firstEventSampleAt   = 6
@@ -61,8 +61,8 @@
 }
 
 // timerOverran reports whether a timer fired so late that this process must have been
-// stalled. The silence of its targets then proves nothing, since their events may be
-// waiting to be read; failing all streams over would exhaust the retry budget.
+// suspended. The silence of a target then proves nothing, since events may be waiting to be
+// read; a failover of all streams would exhaust the retry budget.
 func timerOverran(planned, actual time.Duration) bool { return actual > planned+maxTimerDelay }
 
 // canFailOver reports whether the stream may be sent to another target. If not, the
@@ -76,10 +76,10 @@
 func (a *attempt) checkSilence(ctx context.Context, silence time.Duration) bool {
 	now := clock.Now()
 	checkAfter, failoverAfter := a.connCheckAfter(now), a.failoverAfter(now)
-	if !a.headReceived && a.replica == nil {
+	if !a.headReceived && a.replicaTarget == nil {
 		checkAfter = scaled(headConnCheckShare, a.intervalObjective)
 	}
-	if (silence >= failoverAfter || a.targetLost) && a.hasRetry(ctx, now) {
+	if (silence >= failoverAfter || a.targetLost) && a.reserveFailover(ctx, now) {
 		a.recordSilence(silence)
 		return true
 	}
@@ -90,9 +90,9 @@
 	return false
 }
 
-// hasRetry reserves a retry for a failover and reports whether the retry budget allows it.
-// If not, the attempt goes on: its target may only be slow.
-func (a *attempt) hasRetry(ctx context.Context, now clock.Time) bool {
+// reserveFailover reserves a retry for a failover and reports whether the retry budget
+// allowed the retry. If not, the attempt goes on: its target may only be slow.
+func (a *attempt) reserveFailover(ctx context.Context, now clock.Time) bool {
 	if a.s.obtainRetry(ctx) {
 		return true
 	}
@@ -116,7 +116,7 @@
 // failoverAfter returns the silence after which the stream fails over although its target
 // accepts connections.
 func (a *attempt) failoverAfter(now clock.Time) time.Duration {
-	if !a.headReceived && a.replica == nil {
+	if !a.headReceived && a.replicaTarget == nil {
 		return a.firstEventTimeout(now)
 	}
 	share, pauses := failoverShare, float64(failoverPauses)
@@ -149,12 +149,12 @@
 		return scaled(unknownSpeedTimeoutShare, objective)
 	}
 	p := a.s.pace()
-	share, margin := float64(firstEventTimeoutFactor), firstEventTimeoutMargin
+	factor, margin := float64(firstEventTimeoutFactor), firstEventTimeoutMargin
 	if a.rank == RankLast {
-		share, margin = lowRankTimeoutFactor, lowRankTimeoutMargin
+		factor, margin = lowRankTimeoutFactor, lowRankTimeoutMargin
 	}
-	share = max(share, spreadTimeoutFactor*p.Spread)
-	return scaled(share, expected) + scaled(margin, p.Reading(int(p.Prompt), p.Gap))
+	factor = max(factor, spreadTimeoutFactor*p.Spread)
+	return scaled(factor, expected) + scaled(margin, p.Reading(int(p.Prompt), p.Gap))
 }
 
 func scaled(factor float64, d time.Duration) time.Duration { return time.Duration(factor * float64(d)) }
@@ -205,11 +205,11 @@
 		}
 		return
 	}
-	interval, usual := readAt.Sub(a.lastEventAt), a.s.intervalOr(a.member, service.Gap(), readAt)
+	interval, usual := readAt.Sub(a.lastEventAt), a.s.intervalFromUsual(a.member, service.Gap(), readAt)
 	if a.lastEventLate && interval <= scaled(burstIntervals, usual) {
-		a.recordStall(readAt)
+		a.recordPacketLoss(readAt)
 	}
-	a.lastEventLate = usual != 0 && interval >= scaled(stallIntervals, usual)
+	a.lastEventLate = usual != 0 && interval >= scaled(lateEventIntervals, usual)
 	a.lastEventAt = readAt
 	decodeOnly := !a.member.Work().All().Reads()
 	a.member.Pace().Event(interval, decodeOnly, readAt)
@@ -222,8 +222,8 @@
 	}
 }
 
-// recordStall records a lost packet on the link to the target's zone.
-func (a *attempt) recordStall(readAt clock.Time) {
+// recordPacketLoss records a lost packet on the link to the target's zone.
+func (a *attempt) recordPacketLoss(readAt clock.Time) {
 	zone := a.member.Target().Zone()
 	if !a.s.h.links.Stalled(zone, readAt) {
 		return
--- a/ingress/stale_test.go
+++ b/ingress/stale_test.go
@@ -37,7 +37,7 @@
 // there.
 func TestStaleZonesAvoided(t *testing.T) {
 	s := &staleSender{currentZone: "c"}
-	h := modelHandler(t, s, ragworthitch.CallStream)
+	h := newTestHandler(t, s, ragworthitch.CallStream)
 	for _, m := range h.targets.Service("llm") {
 		if m.Target().Zone() == s.currentZone {
 			m.Work().Begin(0, 100)
@@ -72,7 +72,7 @@
 // have started there.
 func TestZoneOutageAvoided(t *testing.T) {
 	s := &refusingSender{lostZone: "a", orders: map[string]int{}}
-	h := modelHandler(t, s, ragworthitch.CallStream)
+	h := newTestHandler(t, s, ragworthitch.CallStream)
 	for i := range 150 {
 		h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint("many-", i), Service: "llm",
 			Address: fmt.Sprintf("127.0.0.2:%d", 1+i), Zone: string(rune('a' + i%3)), Slots: 8}), 0)
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -40,11 +40,11 @@
 	headSent       bool             // the caller has the head of the answer
 	copy           replicaPlacement // where the attempt's KV cache is replicated
 	replicaStarted bool             // the attempt has generated events, so that there is a replica
-	releaseReplica func()
-	interruptedAt  clock.Time // when the previous attempt ended; 0: no interruption
-	zoneLosses     []zoneLoss
-	failedAttempts int
-	totalEvents    int // events of all attempts and those before the resume offset
+	releaseReplica func()           // removes the replica from the load of its target
+	interruptedAt  clock.Time       // when the previous attempt ended; 0: no interruption
+	lostAttempts   []lostAttempt    // failed attempts, except those that a target rejected
+	failedAttempts int              // attempts that ended early
+	totalEvents    int              // events of all attempts and those before the resume offset
 }
 
 func newStream(c *activeCall) *stream {
@@ -60,9 +60,9 @@
 func (s *stream) serve(ctx context.Context) {
 	defer func() { s.releaseReplica() }()
 	for {
-		m, replica := s.nextTarget()
+		m, replicaTarget := s.nextTarget()
 		if m == nil && s.failedAttempts > 0 {
-			m, replica = s.awaitTarget(ctx)
+			m, replicaTarget = s.awaitTarget(ctx)
 		}
 		if m == nil {
 			s.abort(ctx, http.StatusBadGateway, "no target available", nil)
@@ -72,9 +72,9 @@
 			s.reject("cannot end in time", 0)
 			return
 		}
-		a, err := s.runAttempt(ctx, m, replica)
+		a, err := s.runAttempt(ctx, m, replicaTarget)
 		if err == nil {
-			s.recordSuccess()
+			s.recordNoCrash()
 			s.recordAnswer(m, http.StatusOK)
 			return
 		}
@@ -90,15 +90,16 @@
 			s.abortQuarantined(verdict, err)
 			return
 		}
-		if s.mayHaveRun && !s.grant.Route.Idempotent() || !s.mayRetry(ctx) || s.failedAttempts >= maxDials+s.grant.Route.MaxTargets() {
+		if s.mayHaveRun && !s.grant.Route.Idempotent() || !s.permitAttempt(ctx) || s.failedAttempts >= maxDials+s.grant.Route.MaxTargets() {
 			s.abort(ctx, http.StatusBadGateway, "no further attempt possible", err)
 			return
 		}
 	}
 }
 
-// nextTarget selects the target of the next attempt, and the replica it resumes from.
-func (s *stream) nextTarget() (m, replica *registry.Member) {
+// nextTarget selects the target of the next attempt. replicaTarget is that target if the
+// attempt resumes from a replica there, otherwise nil.
+func (s *stream) nextTarget() (m, replicaTarget *registry.Member) {
 	now := clock.Now()
 	if target := s.replicaTarget(); target != nil && target.Takes(now) {
 		return target, target
@@ -106,18 +107,18 @@
 	if m := s.pickEngine(now, nil, s.tried.list()...); m != nil {
 		return m, nil
 	}
-	// All others failed; a target that was tried before may be available again.
+	// No other target is available; one of those tried before may be again.
 	return s.pickEngine(now, nil), nil
 }
 
 // awaitTarget waits for a target to become available for an interrupted stream. A
 // restarting target may be ready soon.
-func (s *stream) awaitTarget(ctx context.Context) (m, replica *registry.Member) {
+func (s *stream) awaitTarget(ctx context.Context) (m, replicaTarget *registry.Member) {
 	deadline := clock.Now().Add(s.h.targetWait)
 	for m == nil && clock.Now() < deadline && clock.Sleep(ctx, silenceCheckInterval) {
-		m, replica = s.nextTarget()
+		m, replicaTarget = s.nextTarget()
 	}
-	return m, replica
+	return m, replicaTarget
 }
 
 // recordFailedAttempt records and logs an attempt that ended early.
@@ -129,9 +130,9 @@
 	s.failedAttempts++
 	s.tried.add(m)
 	if !a.headReceived || !errors.Is(err, upstream.ErrNotSent) { // the target did not just reject the call
-		s.zoneLosses = append(s.zoneLosses, zoneLoss{zone: m.Target().Zone(), at: now})
+		s.lostAttempts = append(s.lostAttempts, lostAttempt{zone: m.Target().Zone(), at: now})
 	}
-	s.h.log.Warn().Str("request", s.call.ID).Stringer("fingerprint", s.print).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Bool("fromCopy", a.replica != nil).
+	s.h.log.Warn().Str("request", s.call.ID).Stringer("fingerprint", s.print).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Bool("fromCopy", a.replicaTarget != nil).
 		Int64("lastEvent", s.lastID).Bool("answered", a.headReceived).Dur("generated", a.generationTime(now)).Int("events", a.events).Dur("ran", now.Sub(a.startedAt)).Dur("quiet", now.Sub(a.lastActivityAt)).
 		Dur("after", now.Sub(s.call.Received)).Int("sends", s.attempts).Err(err).Msg("resume: attempt ended early")
 }
@@ -168,7 +169,7 @@
 
 // runAttempt makes one attempt and forwards its events. It returns nil when the caller has
 // the complete stream, or another answer in its place.
-func (s *stream) runAttempt(parent context.Context, member, replica *registry.Member) (*attempt, error) {
+func (s *stream) runAttempt(parent context.Context, member, replicaTarget *registry.Member) (*attempt, error) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel() // closes the connection, so that the target stops its work
 	now := clock.Now()
@@ -176,27 +177,27 @@
 	if s.lastID > 0 {
 		o.After = strconv.FormatInt(s.lastID, 10)
 	}
-	if replica != nil {
-		o.CopyAt = replica.Target().Address()
+	if replicaTarget != nil {
+		o.CopyAt = replicaTarget.Target().Address()
 	}
-	prefillTokens := s.prefillTokens(member, replica)
+	prefillTokens := s.prefillTokens(member, replicaTarget)
 	s.placeReplica(member, o)
 	prefillBacklog, begin := member.Work().All().Prefill, member.Work().Begin
 	if o.Rank == RankLast {
 		prefillBacklog, begin = prefillBacklog+member.Work().All().Later, member.Work().BeginLater
 	}
-	s.logAttempt(member, replica, o, prefillBacklog+prefillTokens)
+	s.logAttempt(member, replicaTarget, o, prefillBacklog+prefillTokens)
 	prefillDone, attemptDone := begin(prefillTokens, s.kvTokens())
 	s.h.cacheLocations.Note(recall.Place{Subject: s.call.Subject, Engine: member.Target().Boot()}, now)
 	s.h.notifyPeers()
 	defer attemptDone()
 	s.h.rollouts.Sent(s.service(), member.Target().Version(), s.lane, s.attempts > 0)
 	s.attempts++
-	a := &attempt{s: s, member: member, replica: replica, startedAt: now, sentWallTime: time.Now(), lastActivityAt: now, intervalObjective: s.intervalObjective(), rank: o.Rank, prefillTokens: prefillTokens, fromStart: s.lastID == 0 && replica == nil, prefillBacklog: prefillBacklog, prefillDone: prefillDone,
+	a := &attempt{s: s, member: member, replicaTarget: replicaTarget, startedAt: now, sentWallTime: time.Now(), lastActivityAt: now, intervalObjective: s.intervalObjective(), rank: o.Rank, prefillTokens: prefillTokens, fromStart: s.lastID == 0 && replicaTarget == nil, prefillBacklog: prefillBacklog, prefillDone: prefillDone,
 		results: make(chan readResult, eventQueueSize), connFailures: make(chan connFailure), sendResult: make(chan error, 1)}
 	p := s.pace()
 	a.expectedAtSend = p.First(prefillBacklog+prefillTokens, p.Gap)
-	go a.read(ctx, o)
+	go a.sendCatchingPanic(ctx, o)
 	err := a.watch(ctx)
 	cancel()
 	failedAtTarget := !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, errPanic)
@@ -217,12 +218,12 @@
 }
 
 // logAttempt logs the selection of a target.
-func (s *stream) logAttempt(m, replica *registry.Member, o *Order, prefillTokens int) {
+func (s *stream) logAttempt(m, replicaTarget *registry.Member, o *Order, prefillTokens int) {
 	load, p := m.Work().All(), s.pace()
 	interval := s.activeCall.interval(m, p, clock.Now())
 	s.h.log.Info().Str("request", s.call.ID).Stringer("fingerprint", s.print).Str("route", s.grant.Route.Name()).Str("org", s.grant.Org).Int64("version", s.grant.Version).
 		Dur("proofAge", s.grant.Age).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Int("prefill", load.Prefill).Int("running", load.Running).
-		Int("tokens", load.Tokens).Bool("fromCopy", replica != nil).Str("copyTo", o.BackupAt).Int64("afterEvent", s.lastID).Int("prompt", s.call.Prompt).
+		Int("tokens", load.Tokens).Bool("fromCopy", replicaTarget != nil).Str("copyTo", o.BackupAt).Int64("afterEvent", s.lastID).Int("prompt", s.call.Prompt).
 		Uint8("rank", uint8(o.Rank)).Dur("engineGap", interval).Dur("expected", p.First(prefillTokens, interval)).
 		Dur("left", o.Left).Msg("route: stream sent")
 }
@@ -253,10 +254,10 @@
 	interruption := clock.Now().Sub(s.interruptedAt)
 	s.interruptedAt = 0
 	s.h.stats.failovers.Inc(1)
-	if a.replica != nil {
+	if a.replicaTarget != nil {
 		s.h.stats.replicaFailovers.Inc(1)
 	}
 	s.h.stats.failoverTime.Record(interruption)
-	s.h.log.Info().Str("request", s.call.ID).Str("target", a.member.Target().ID()).Bool("fromCopy", a.replica != nil).
+	s.h.log.Info().Str("request", s.call.ID).Str("target", a.member.Target().ID()).Bool("fromCopy", a.replicaTarget != nil).
 		Int64("event", s.lastID).Dur("gap", interruption).Msg("resume: stream continues")
 }
--- a/ingress/trouble.go
+++ b/ingress/trouble.go
@@ -6,8 +6,8 @@
 )
 
 // assumedServing is how many targets are assumed to serve among those of a zone without
-// recent evidence. An instance has work at only a few targets of a zone. If all others
-// counted as serving, a few failures would not show an outage of the whole zone.
+// recent evidence. An instance has work at only a few targets of a zone. If all its other
+// targets counted as serving, a few failures would not show an outage of the whole zone.
 const assumedServing = 1
 
 // zoneEvidence summarises what was recently seen of a zone's targets.
--- a/ingress/version.go
+++ b/ingress/version.go
@@ -16,12 +16,13 @@
 
 const (
 	// canaryTargetShare is the share of the new version's targets that get the canary
-	// calls, and minCanaryTargets the least number of them. The others get none, so that
-	// these have enough load to be compared with the baseline.
+	// calls, and minCanaryTargets the least number of these targets. The version's
+	// other targets get none, so that these have enough load to be compared with the
+	// baseline.
 	canaryTargetShare = 0.2
 	minCanaryTargets  = 3
-	// The speed of an attempt is rated after speedSampleEvents events, if there are
-	// minDecodeIntervals event intervals without prefill beside them.
+	// The speed of an attempt is recorded after speedSampleEvents events, and only if at
+	// least minDecodeIntervals event intervals had no prefill beside them.
 	speedSampleEvents  = 10
 	minDecodeIntervals = 3
 )
@@ -31,18 +32,18 @@
 	return c.h.rollouts.Place(c.service(), c.lane, now)
 }
 
-// pickPlaced selects among the targets that a placement prefers or, if there is none,
-// among those that it allows.
-func (c *activeCall) pickPlaced(now clock.Time, p rollout.Placement, pick func([]*registry.Member) *registry.Member) *registry.Member {
+// pickByPlacement selects a target with pick among those of the version that the placement
+// selects or, if pick finds none there, among those that the placement allows as spare.
+func (c *activeCall) pickByPlacement(now clock.Time, p rollout.Placement, pick func([]*registry.Member) *registry.Member) *registry.Member {
 	ms := c.h.targets.Service(c.service())
 	if !p.Bound() {
 		return pick(ms)
 	}
-	preferred := targetsFor(ms, p, rollout.Preferred)
+	selected := targetsFor(ms, p, rollout.Preferred)
 	if p.OnTrial() {
-		preferred = canaryTargets(preferred, now)
+		selected = canaryTargets(selected, now)
 	}
-	if m := pick(preferred); m != nil {
+	if m := pick(selected); m != nil {
 		return m
 	}
 	return pick(targetsFor(ms, p, rollout.Spare))
@@ -89,7 +90,7 @@
 // recordBrokenAnswer records an answer that broke off as a failure of the target's
 // version, unless the target was lost after startedAt.
 func (c *activeCall) recordBrokenAnswer(m *registry.Member, startedAt clock.Time) {
-	if c.h.rollouts.InForce() && !lostAfter(m, startedAt) {
+	if c.h.rollouts.InForce() && !confirmLost(m, startedAt) {
 		c.recordSymptom(m, rollout.Failing, true)
 	}
 }
--- a/ingress/version_test.go
+++ b/ingress/version_test.go
@@ -38,8 +38,8 @@
 // versionHandler returns a handler with as many old as new targets and a roll-out in the
 // given state.
 func versionHandler(t *testing.T, s *versionSender, state rollout.State) *Handler {
-	h := modelHandler(t, s, ragworthitch.CallStream)
-	for i := range modelTargets {
+	h := newTestHandler(t, s, ragworthitch.CallStream)
+	for i := range testTargets {
 		h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint("new-", i), Service: "llm", Version: "v2",
 			Address: fmt.Sprintf("127.0.0.2:%d", 1+i), Zone: string(rune('a' + i%3)), Slots: 8}), 0)
 	}
@@ -121,10 +121,10 @@
 			h.rollouts.Read()
 			h.rollouts.Status(rollout.Status{Order: 4, Service: "llm", To: "v2", State: rollout.Running, Row: 6})
 			got := rollout.Running
-			see := func(string, string) rollout.Sight { return rollout.Sight{Old: 6, New: 6, NewReady: 6, OldWork: 1} }
+			observe := func(string, string) rollout.Sight { return rollout.Sight{Old: 6, New: 6, NewReady: 6, OldWork: 1} }
 			for n := 0; got == rollout.Running && n < 2000; n++ {
 				serve(h, &Call{ID: fmt.Sprint(n), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
-				for _, c := range h.rollouts.Decide(clock.Now(), 0, see) {
+				for _, c := range h.rollouts.Decide(clock.Now(), 0, observe) {
 					got = c.State
 				}
 			}
--- a/ingress/yield_test.go
+++ b/ingress/yield_test.go
@@ -15,7 +15,7 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// recordingSender records the order and the load at its target when it arrives.
+// recordingSender records the last order and its target's load when the order arrives.
 type recordingSender struct {
 	order *Order
 	load  registry.Load
@@ -46,7 +46,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := &recordingSender{}
-			h := modelHandler(t, s, ragworthitch.CallStream)
+			h := newTestHandler(t, s, ragworthitch.CallStream)
 			h.fixedPace = &testPace
 			for _, m := range h.targets.Service("llm") {
 				m.Work().SetOther("another", registry.Load{Prefill: tt.backlog})
@@ -68,7 +68,7 @@
 		replicated bool
 	}{{10000, true}, {50000, true}, {62000, false}} {
 		s := &recordingSender{}
-		h := modelHandler(t, s, ragworthitch.CallStream)
+		h := newTestHandler(t, s, ragworthitch.CallStream)
 		for _, m := range h.targets.Service("llm") {
 			m.Work().SetOther("another", registry.Load{Tokens: tt.usedTokens})
 		}
@@ -77,11 +77,11 @@
 	}
 }
 
-// An engine with many streams that can start a stream in time is preferred to idle ones
-// with a backlog that cannot.
+// A stream goes to an engine that can start it in time, although that engine runs more
+// streams than the others, whose backlog would make it late.
 func TestEngineInTimePreferred(t *testing.T) {
 	s := &recordingSender{}
-	h := modelHandler(t, s, ragworthitch.CallStream)
+	h := newTestHandler(t, s, ragworthitch.CallStream)
 	h.fixedPace = &testPace
 	for _, m := range h.targets.Service("llm") {
 		load := registry.Load{Prefill: 5000} // late: 1.8 s with the call's own prompt, against 1 s
