--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -13,7 +13,7 @@
     "a token comes twice": ("ORDER", "ingress/run.go", "	if _, err := s.w.Write(e.Raw); err != nil {", "	if e.ID == 7 {\n\t\ts.w.Write(e.Raw)\n\t}\n	if _, err := s.w.Write(e.Raw); err != nil {"),
     "a stream that goes on begins anew": ("ORDER", "ingress/run.go", "		if e.ID <= s.last {", "		if false && e.ID <= s.last {",
         "ingress/stream.go", "	if s.last > 0 {\n		o.After", "	if s.last < 0 {\n		o.After", "ingress/run.go", "		if !s.follows(e.ID, r.fresh == 0) {", "		if false {"),
-    "a cut stream looks complete": ("ORDER", "ingress/stream.go", "	panic(http.ErrAbortHandler)", "	return"),
+    "a cut stream looks complete": ("ORDER", "ingress/stream.go", "	s.logFailure(0, \"stream cut: \"+cause, err)\n	panic(http.ErrAbortHandler)", "	s.logFailure(0, \"stream cut: \"+cause, err)\n	return"),
     "not run, though it may have": ("NOTRUN", "ingress/job.go", "	if !j.mayRun {", "	if j != nil {"),
     "payments are sent again": ("TWICE", "ingress/plain.go", "			if j.mayRun && !safe {", "			if false && j.mayRun && !safe {"),
     "a removed key is good while the store is away": ("REVOKED", "desired/book.go", "		if age > b.ages.Key {", "		if false && age > b.ages.Key {"),
