--- a/process/process.go
+++ b/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts programs that are to be tested as processes of their
-// own, follows their logs and ends them. It sends signals to nothing else.
+// Package process runs programs under test as child processes, captures their
+// output in log files and stops them. It signals only processes that it started.
 package process
 
 import (
@@ -18,49 +18,49 @@
 )
 
 const (
-	startTime = 15 * time.Second // a part starts in under 0.2 s beside load
-	startLook = 10 * time.Millisecond
-	killTime  = 5 * time.Second // a killed process is gone in a few ms
+	startTimeout      = 15 * time.Second
+	startPollInterval = 10 * time.Millisecond
+	killTimeout       = 5 * time.Second
 )
 
-// ErrNotStarted is returned for a program that has not said that it started.
-var ErrNotStarted = errors.New("process: has not started")
+// ErrNotStarted means that a program did not log its start within the timeout.
+var ErrNotStarted = errors.New("process: not started")
 
 type (
-	// Process is one program that was started.
+	// Process is a started child process.
 	Process struct {
-		name string
-		log  string
-		cmd  *exec.Cmd
-		done chan struct{}
+		name    string
+		logFile string
+		cmd     *exec.Cmd
+		done    chan struct{}
 
-		mu     sync.Mutex
-		err    error
-		ending bool // it has been told to end
+		mu            sync.Mutex
+		err           error
+		stopRequested bool // SIGTERM or SIGKILL was sent
 	}
 
-	// Usage is what a process uses.
+	// Usage holds the resources that a process uses.
 	Usage struct {
-		MB    int // of memory
-		Files int // open descriptors
+		MemoryMB  int // resident set size
+		OpenFiles int // open file descriptors
 	}
 )
 
-// Start starts a program in a folder, its output added to NAME.log there, and
-// waits until it says that it has started. One that has not is ended; its
-// process is returned beside the error.
+// Start runs a program in dir, appends its output to NAME.log there and waits
+// until it logs ": started". A program that does not is killed, and Start
+// returns its process together with the error.
 func Start(dir, name, program string, env []string, args ...string) (*Process, error) {
-	log := filepath.Join(dir, name+".log")
-	f, err := os.OpenFile(log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	logFile := filepath.Join(dir, name+".log")
+	f, err := os.OpenFile(logFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	at, err := f.Seek(0, io.SeekEnd)
+	offset, err := f.Seek(0, io.SeekEnd)
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{name: name, log: log, cmd: exec.Command(program, args...), done: make(chan struct{})}
+	p := &Process{name: name, logFile: logFile, cmd: exec.Command(program, args...), done: make(chan struct{})}
 	p.cmd.Dir, p.cmd.Stdout, p.cmd.Stderr = dir, f, f
 	p.cmd.Env = append(os.Environ(), env...)
 	if err := p.cmd.Start(); err != nil {
@@ -73,52 +73,52 @@
 		p.mu.Unlock()
 		close(p.done)
 	}()
-	if err := p.awaitStart(at); err != nil {
+	if err := p.awaitStart(offset); err != nil {
 		return p, errors.Join(err, p.Kill())
 	}
 	return p, nil
 }
 
-// awaitStart waits for the line that says so, after a place in the log.
-func (p *Process) awaitStart(at int64) error {
-	var b []byte
-	for end := time.Now().Add(startTime); time.Now().Before(end); time.Sleep(startLook) {
+// awaitStart waits until the log, from offset on, contains the start message.
+func (p *Process) awaitStart(offset int64) error {
+	var output []byte
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(startPollInterval) {
 		var err error
-		if b, err = p.logFrom(at); err != nil {
+		if output, err = p.readLogFrom(offset); err != nil {
 			return err
 		}
-		if bytes.Contains(b, []byte(": started")) {
+		if bytes.Contains(output, []byte(": started")) {
 			return nil
 		}
-		if p.Ended() {
+		if p.Exited() {
 			break
 		}
 	}
-	return fmt.Errorf("%w: %s: ended %v (%v), said %q", ErrNotStarted, p.name, p.Ended(), p.Err(), b)
+	return fmt.Errorf("%w: %s: exited %v (%v), output %q", ErrNotStarted, p.name, p.Exited(), p.Err(), output)
 }
 
-// logFrom is the process's output after a place in its log, which may hold that
-// of many before it.
-func (p *Process) logFrom(at int64) ([]byte, error) {
-	f, err := os.Open(p.log)
+// readLogFrom reads the log from offset on. Earlier bytes are the output of
+// previous processes of the same name.
+func (p *Process) readLogFrom(offset int64) ([]byte, error) {
+	f, err := os.Open(p.logFile)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	if _, err := f.Seek(at, io.SeekStart); err != nil {
+	if _, err := f.Seek(offset, io.SeekStart); err != nil {
 		return nil, err
 	}
 	return io.ReadAll(f)
 }
 
-// Name is the name that it was started under.
+// Name returns the name that the process was started under.
 func (p *Process) Name() string { return p.name }
 
-// Log is the file of its output.
-func (p *Process) Log() string { return p.log }
+// Log returns the path of the log file.
+func (p *Process) Log() string { return p.logFile }
 
-// Ended reports whether the process has ended.
-func (p *Process) Ended() bool {
+// Exited reports whether the process has exited.
+func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -127,28 +127,29 @@
 	}
 }
 
-// EndedItself reports whether the process has ended without being told to.
-func (p *Process) EndedItself() (bool, error) {
-	if !p.Ended() {
+// ExitedUnexpectedly reports whether the process exited without SIGTERM or
+// SIGKILL from Signal, and the error of its exit.
+func (p *Process) ExitedUnexpectedly() (bool, error) {
+	if !p.Exited() {
 		return false, nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.ending, p.err
+	return !p.stopRequested, p.err
 }
 
-// Err is how the process ended: nil with status 0.
+// Err returns the error of the process's exit; nil for status 0 and while it runs.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Signal sends a signal; to a process that has ended none.
+// Signal sends a signal. It does nothing if the process has exited.
 func (p *Process) Signal(s syscall.Signal) error {
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
 		p.mu.Lock()
-		p.ending = true
+		p.stopRequested = true
 		p.mu.Unlock()
 	}
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -157,43 +158,43 @@
 	return nil
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill sends SIGKILL and waits for the exit.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	return p.Await(killTime)
+	return p.Await(killTimeout)
 }
 
-// Await waits for the process's end.
-func (p *Process) Await(d time.Duration) error {
+// Await waits until the process exits, or returns an error after the timeout.
+func (p *Process) Await(timeout time.Duration) error {
 	select {
 	case <-p.done:
 		return nil
-	case <-time.After(d):
-		return fmt.Errorf("process: %s has not ended within %v", p.name, d)
+	case <-time.After(timeout):
+		return fmt.Errorf("process: %s did not exit within %v", p.name, timeout)
 	}
 }
 
-// Usage reads what the process uses.
+// Usage reads the process's memory and open descriptors from /proc.
 func (p *Process) Usage() (Usage, error) {
-	proc := filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid))
-	status, err := os.ReadFile(filepath.Join(proc, "status"))
+	procDir := filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid))
+	status, err := os.ReadFile(filepath.Join(procDir, "status"))
 	if err != nil {
 		return Usage{}, err
 	}
-	files, err := os.ReadDir(filepath.Join(proc, "fd"))
+	descriptors, err := os.ReadDir(filepath.Join(procDir, "fd"))
 	if err != nil {
 		return Usage{}, err
 	}
-	u := Usage{Files: len(files)}
+	u := Usage{OpenFiles: len(descriptors)}
 	for line := range strings.Lines(string(status)) {
 		if kb, ok := strings.CutPrefix(line, "VmRSS:"); ok {
 			n, err := strconv.Atoi(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(kb), "kB")))
 			if err != nil {
 				return Usage{}, err
 			}
-			u.MB = n >> 10
+			u.MemoryMB = n >> 10
 		}
 	}
 	return u, nil
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -115,7 +115,7 @@
 
 // crashed reports whether a process has ended because of a deadly request.
 func crashed(proc *process.Process) bool {
-	itself, err := proc.EndedItself()
+	itself, err := proc.ExitedUnexpectedly()
 	var exit *exec.ExitError
 	return itself && errors.As(err, &exit) && exit.ExitCode() == crashStatus
 }
--- a/soak/play.go
+++ b/soak/play.go
@@ -163,7 +163,7 @@
 func (p *play) watch(ctx context.Context) {
 	for clock.Sleep(ctx, usageTime) {
 		for _, proc := range p.processes() {
-			if itself, err := proc.EndedItself(); itself && !crashed(proc) {
+			if itself, err := proc.ExitedUnexpectedly(); itself && !crashed(proc) {
 				p.died(proc, fmt.Errorf("ended by itself: %v", err))
 			}
 		}
@@ -175,7 +175,7 @@
 
 // noteUsage notes what a process uses.
 func (p *play) noteUsage(proc *process.Process) {
-	if proc.Ended() {
+	if proc.Exited() {
 		return
 	}
 	u, err := proc.Usage()
@@ -184,7 +184,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.usage = append(p.usage, Usage{Part: proc.Name(), At: time.Now().UnixNano(), MB: u.MB, Files: u.Files})
+	p.usage = append(p.usage, Usage{Part: proc.Name(), At: time.Now().UnixNano(), MB: u.MemoryMB, Files: u.OpenFiles})
 }
 
 // died notes a process that ended, or did not end, as it should not.
