--- a/loopback/fork_test.go
+++ b/loopback/fork_test.go
@@ -9,23 +9,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The load: a dozen processes start again at the same moment, each at a port of its
-// own. A port that was just found free is free: no process that is being started
-// meanwhile still holds what was opened to try it.
+// A port from FreePort can be listened on at once, while other goroutines fork: no
+// child inherits the listener with which FreePort tried the port.
 func TestPortFreeWhileProcessesStart(t *testing.T) {
-	// At the first start the runtime tries what the kernel can do with a child that
-	// its lock does not cover; a play's first processes start one after the other.
+	// The runtime's first fork probes kernel features outside the fork lock.
 	require.NoError(t, exec.Command("true").Run())
 	var done atomic.Bool
-	var group sync.WaitGroup
+	var forks sync.WaitGroup
 	for range 6 {
-		group.Go(func() {
+		forks.Go(func() {
 			for !done.Load() {
-				exec.Command("true").Run() // only that it is forked counts
+				exec.Command("true").Run() // only the fork matters
 			}
 		})
 	}
-	defer group.Wait()
+	defer forks.Wait()
 	defer done.Store(true)
 	for range 400 {
 		port, err := FreePort()
--- a/loopback/link.go
+++ b/loopback/link.go
@@ -8,54 +8,54 @@
 	"time"
 )
 
-// Ways to disturb a link.
+// Faults of a link.
 const (
-	Delay   = "delay"   // each piece of data is held for a while
-	Reset   = "reset"   // all connections are reset, new ones too
-	CutTo   = "cutTo"   // what callers send does not arrive until the end
-	CutBack = "cutBack" // what they are answered does not arrive until the end
-	Silence = "silence" // both
+	Delay          = "delay"   // each read is forwarded after a delay
+	Reset          = "reset"   // open and new connections are reset
+	BlockRequests  = "cutTo"   // bytes to the server are held until the fault ends
+	BlockResponses = "cutBack" // bytes to the client are held until the fault ends
+	BlockBoth      = "silence" // bytes in both directions are held
 )
 
-// A Link relays connections from one loopback address to another, and disturbs
-// them on the way. Make one with NewLink.
+// A Link is a TCP proxy between two loopback addresses that injects network
+// faults. Create it with NewLink.
 type Link struct {
-	dial string
-	ln   net.Listener
-
-	mu      sync.Mutex
-	kind    string        // of the disturbance; empty: none
-	delay   time.Duration // of Delay
-	changed chan struct{} // closed when it changes
-	pairs   map[*pair]bool
+	serverAddr string
+	ln         net.Listener
+
+	mu           sync.Mutex
+	fault        string        // empty: none
+	delay        time.Duration // of a Delay fault
+	faultChanged chan struct{} // closed and replaced when the fault changes
+	connections  map[*connection]bool
 }
 
-// pair is one relayed connection.
-type pair struct{ near, far *net.TCPConn }
+// connection is one proxied connection.
+type connection struct{ client, server *net.TCPConn }
 
 const (
-	relayBuffer = 32 << 10
-	relayDial   = time.Second
+	bufferBytes = 32 << 10
+	dialTimeout = time.Second
 )
 
-// NewLink opens a link from an address to another.
-func NewLink(listen, dial string) (*Link, error) {
+// NewLink listens on one address and forwards connections to serverAddr.
+func NewLink(listen, serverAddr string) (*Link, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{dial: dial, ln: ln, changed: make(chan struct{}), pairs: map[*pair]bool{}}
+	l := &Link{serverAddr: serverAddr, ln: ln, faultChanged: make(chan struct{}), connections: map[*connection]bool{}}
 	go l.accept()
 	return l, nil
 }
 
-// Close refuses new connections, as when nobody listens behind the link.
-// Those that stand end with their part.
+// Close stops listening, so that new connections are refused. Open connections
+// last until the client, the server or a fault ends them.
 func (l *Link) Close() {
 	l.ln.Close()
 }
 
-// Cut ends the link and all its connections.
+// Cut stops listening and resets all connections.
 func (l *Link) Cut() {
 	l.Close()
 	l.Calm()
@@ -64,36 +64,36 @@
 	l.resetAll()
 }
 
-// Disturb disturbs the link until Calm is called; delay is that of Delay.
-func (l *Link) Disturb(kind string, delay time.Duration) {
+// Disturb injects a fault until Calm is called. Only a Delay fault uses delay.
+func (l *Link) Disturb(fault string, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kind, l.delay = kind, delay
-	l.tell()
-	if kind == Reset {
+	l.fault, l.delay = fault, delay
+	l.notify()
+	if fault == Reset {
 		l.resetAll()
 	}
 }
 
-// Calm ends the disturbance.
+// Calm ends the fault.
 func (l *Link) Calm() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kind = ""
-	l.tell()
+	l.fault = ""
+	l.notify()
 }
 
-// resetAll resets all connections. l.mu is held.
+// resetAll resets all connections. The caller holds l.mu.
 func (l *Link) resetAll() {
-	for p := range l.pairs {
+	for p := range l.connections {
 		p.reset()
 	}
 }
 
-// tell wakes what waits for the end of a fault. l.mu is held.
-func (l *Link) tell() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+// notify wakes the goroutines in awaitFault. The caller holds l.mu.
+func (l *Link) notify() {
+	close(l.faultChanged)
+	l.faultChanged = make(chan struct{})
 }
 
 func (l *Link) accept() {
@@ -106,49 +106,49 @@
 	}
 }
 
-// relay connects one connection through.
-func (l *Link) relay(near *net.TCPConn) {
-	defer near.Close()
-	if l.resets() {
-		near.SetLinger(0)
+// relay forwards an accepted connection to the server.
+func (l *Link) relay(client *net.TCPConn) {
+	defer client.Close()
+	if l.isResetting() {
+		client.SetLinger(0)
 		return
 	}
-	c, err := net.DialTimeout("tcp", l.dial, relayDial)
+	server, err := net.DialTimeout("tcp", l.serverAddr, dialTimeout)
 	if err != nil {
-		near.SetLinger(0)
+		client.SetLinger(0)
 		return
 	}
-	p := &pair{near: near, far: c.(*net.TCPConn)}
-	defer p.far.Close()
+	conn := &connection{client: client, server: server.(*net.TCPConn)}
+	defer conn.server.Close()
 	l.mu.Lock()
-	l.pairs[p] = true
+	l.connections[conn] = true
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		delete(l.pairs, p)
+		delete(l.connections, conn)
 	}()
-	var both sync.WaitGroup
-	both.Go(func() { l.pump(p, p.far, p.near, CutTo) })
-	both.Go(func() { l.pump(p, p.near, p.far, CutBack) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.copyDirection(conn, conn.server, conn.client, BlockRequests) })
+	directions.Go(func() { l.copyDirection(conn, conn.client, conn.server, BlockResponses) })
+	directions.Wait()
 }
 
-func (l *Link) resets() bool {
+func (l *Link) isResetting() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.kind == Reset
+	return l.fault == Reset
 }
 
-// pump passes one direction on; cut is the fault that stops it.
-func (l *Link) pump(p *pair, to, from *net.TCPConn, cut string) {
-	buf := make([]byte, relayBuffer)
+// copyDirection forwards one direction; blocking is the fault that holds its bytes.
+func (l *Link) copyDirection(conn *connection, to, from *net.TCPConn, blocking string) {
+	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
-		l.hold(cut)
+		l.awaitFault(blocking)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
-				p.reset()
+				conn.reset()
 				return
 			}
 		}
@@ -157,20 +157,21 @@
 			to.CloseWrite()
 			return
 		case err != nil:
-			p.reset()
+			conn.reset()
 			return
 		}
 	}
 }
 
-// hold waits as long as the fault holds data of a direction back.
-func (l *Link) hold(cut string) {
+// awaitFault waits while a fault holds bytes back. The named fault and BlockBoth
+// hold them until the fault changes, Delay for its delay.
+func (l *Link) awaitFault(blocking string) {
 	for {
 		l.mu.Lock()
-		kind, delay, changed := l.kind, l.delay, l.changed
+		fault, delay, changed := l.fault, l.delay, l.faultChanged
 		l.mu.Unlock()
-		switch kind {
-		case cut, Silence:
+		switch fault {
+		case blocking, BlockBoth:
 			<-changed
 			continue
 		case Delay:
@@ -183,10 +184,10 @@
 	}
 }
 
-// reset ends both sides as a crash does.
-func (p *pair) reset() {
-	p.near.SetLinger(0)
-	p.far.SetLinger(0)
-	p.near.Close()
-	p.far.Close()
+// reset closes both sides with RST, as a crash of a process does.
+func (c *connection) reset() {
+	c.client.SetLinger(0)
+	c.server.SetLinger(0)
+	c.client.Close()
+	c.server.Close()
 }
--- a/loopback/link_test.go
+++ b/loopback/link_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	linkSoon  = 2 * time.Second       // what is to come on loopback comes in under 1 ms
-	linkNever = 50 * time.Millisecond // what is held back has not come then
+	echoTimeout = 2 * time.Second
+	blockedWait = 50 * time.Millisecond // enough for an echo over loopback that is not held back
 )
 
-// echoLink is a link to something that answers what it is sent.
-func echoLink(t *testing.T) (*Link, string) {
-	far, err := net.Listen("tcp", "127.0.0.1:0")
+// startEchoLink starts an echo server behind a link and returns the link's address.
+func startEchoLink(t *testing.T) (*Link, string) {
+	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() {
 		for {
-			c, err := far.Accept()
+			c, err := server.Accept()
 			if err != nil {
 				return
 			}
@@ -31,20 +31,20 @@
 			}()
 		}
 	}()
-	near, err := net.Listen("tcp", "127.0.0.1:0")
+	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	addr := near.Addr().String()
-	near.Close()
-	l, err := NewLink(addr, far.Addr().String())
+	addr := reserved.Addr().String()
+	reserved.Close()
+	l, err := NewLink(addr, server.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		l.Cut()
-		far.Close()
+		server.Close()
 	})
 	return l, addr
 }
 
-// echoes reports whether a word sent on a connection comes back within d.
+// echoes reports whether four bytes sent on c come back within the timeout.
 func echoes(t *testing.T, c net.Conn, d time.Duration) bool {
 	_, err := c.Write([]byte("word"))
 	if err != nil {
@@ -55,48 +55,48 @@
 	return err == nil
 }
 
-// connected is a connection over the link that works.
-func connected(t *testing.T, addr string) net.Conn {
+// dialEcho opens a connection over the link and checks that it works.
+func dialEcho(t *testing.T, addr string) net.Conn {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
-	require.True(t, echoes(t, c, linkSoon))
+	require.True(t, echoes(t, c, echoTimeout))
 	return c
 }
 
-// Each fault does to a connection what it says, and what was held back comes
-// when it is over.
+// Each fault has its effect on open connections, and bytes that a fault held
+// back arrive after it ends.
 func TestLinkFaults(t *testing.T) {
-	for _, kind := range []string{CutTo, CutBack, Silence} {
+	for _, kind := range []string{BlockRequests, BlockResponses, BlockBoth} {
 		t.Run(kind, func(t *testing.T) {
-			l, addr := echoLink(t)
-			c := connected(t, addr)
+			l, addr := startEchoLink(t)
+			c := dialEcho(t, addr)
 			l.Disturb(kind, 0)
-			assert.False(t, echoes(t, c, linkNever))
+			assert.False(t, echoes(t, c, blockedWait))
 			l.Calm()
-			require.NoError(t, c.SetReadDeadline(time.Now().Add(linkSoon)))
+			require.NoError(t, c.SetReadDeadline(time.Now().Add(echoTimeout)))
 			_, err := io.ReadFull(c, make([]byte, 4))
-			assert.NoError(t, err, "what was held back")
+			assert.NoError(t, err, "bytes held back by the fault")
 		})
 	}
 	t.Run(Delay, func(t *testing.T) {
-		l, addr := echoLink(t)
-		c := connected(t, addr)
+		l, addr := startEchoLink(t)
+		c := dialEcho(t, addr)
 		l.Disturb(Delay, 100*time.Millisecond)
-		begun := time.Now()
-		assert.True(t, echoes(t, c, linkSoon))
-		assert.GreaterOrEqual(t, time.Since(begun), 200*time.Millisecond, "both ways")
+		startedAt := time.Now()
+		assert.True(t, echoes(t, c, echoTimeout))
+		assert.GreaterOrEqual(t, time.Since(startedAt), 200*time.Millisecond, "delay in both directions")
 	})
 	t.Run(Reset, func(t *testing.T) {
-		l, addr := echoLink(t)
-		c := connected(t, addr)
+		l, addr := startEchoLink(t)
+		c := dialEcho(t, addr)
 		l.Disturb(Reset, 0)
-		assert.False(t, echoes(t, c, linkSoon))
+		assert.False(t, echoes(t, c, echoTimeout))
 		l.Calm()
-		connected(t, addr)
+		dialEcho(t, addr)
 	})
 	t.Run("close", func(t *testing.T) {
-		l, addr := echoLink(t)
+		l, addr := startEchoLink(t)
 		l.Close()
 		_, err := net.Dial("tcp", addr)
 		assert.Error(t, err)
--- a/loopback/ports.go
+++ b/loopback/ports.go
@@ -1,5 +1,5 @@
-// Package loopback hands out loopback ports to processes that are started to be
-// tested.
+// Package loopback allocates loopback ports for processes under test and proxies
+// their connections with injected network faults.
 package loopback
 
 import (
@@ -11,24 +11,21 @@
 	"syscall"
 )
 
-// Ports for processes under test lie below the kernel's ephemeral range
-// (32768 and up): a port of that range, chosen and released, can be taken as
-// the source port of any outgoing connection before the process listens.
+// The ports lie below the kernel's ephemeral range (32768 and up), because an
+// outgoing connection may get a free port of that range as its source port
+// before the process under test listens on it.
 const (
-	portsFrom = 20000
-	portsTo   = 32000
+	firstPort = 20000
+	endPort   = 32000
 
-	// blockPorts is the size of the blocks that test processes claim; a
-	// package's scenarios use about 100 to 250 ports.
-	blockPorts = 100
-	blocks     = (portsTo - portsFrom) / blockPorts
+	portsPerBlock = 100
+	portBlocks    = (endPort - firstPort) / portsPerBlock
 )
 
-// A portBlock is a range of ports that belongs to one test process: it holds
-// the first one open for as long as it lives, and other test processes pass
-// over a block whose first port is taken. Without that, packages tested at
-// the same time can choose the same port, as it is free until the process
-// under test listens.
+// A portBlock is a range of ports that one test process has claimed by listening
+// on the first port for the rest of its life. Other test processes skip a block
+// whose first port is taken. This keeps packages tested at the same time from
+// choosing the same port before the processes under test listen on it.
 type portBlock struct {
 	guard net.Listener
 	next  int
@@ -38,63 +35,61 @@
 var (
 	errNoPort = errors.New("no free port")
 
-	portMu  sync.Mutex
-	portNow portBlock
-	// portGuards keeps the guards of used blocks open: what was given out
-	// from them stays in use.
-	portGuards []net.Listener
+	claimMu      sync.Mutex
+	currentBlock portBlock
+	// claimGuards keeps the listeners of used-up blocks open, because their
+	// ports stay in use.
+	claimGuards []net.Listener
 )
 
-// FreePort returns a loopback port that is free now and that no other test
-// process is given as long as this one lives. It fails when all blocks are
-// claimed.
+// FreePort returns a free loopback port that no other test process gets while
+// this process lives. It fails if all blocks are claimed.
 func FreePort() (int, error) {
-	portMu.Lock()
-	defer portMu.Unlock()
+	claimMu.Lock()
+	defer claimMu.Unlock()
 	for {
-		if p, ok := portNow.take(); ok {
+		if p, ok := currentBlock.nextFree(); ok {
 			return p, nil
 		}
 		b, err := claimBlock()
 		if err != nil {
 			return 0, err
 		}
-		portNow = b
-		portGuards = append(portGuards, b.guard)
+		currentBlock = b
+		claimGuards = append(claimGuards, b.guard)
 	}
 }
 
-// claimBlock claims a block that no living test process holds, the first
-// one from a random place on.
+// claimBlock claims the first unclaimed block, starting from a random block.
 func claimBlock() (portBlock, error) {
-	at := rand.IntN(blocks)
-	for i := range blocks {
-		from := portsFrom + (at+i)%blocks*blockPorts
-		guard, err := listen(from)
+	offset := rand.IntN(portBlocks)
+	for i := range portBlocks {
+		first := firstPort + (offset+i)%portBlocks*portsPerBlock
+		guard, err := listen(first)
 		if err != nil {
 			continue
 		}
-		return portBlock{guard: guard, next: from + 1, end: from + blockPorts}, nil
+		return portBlock{guard: guard, next: first + 1, end: first + portsPerBlock}, nil
 	}
-	return portBlock{}, fmt.Errorf("%w from %d to %d", errNoPort, portsFrom, portsTo)
+	return portBlock{}, fmt.Errorf("%w from %d to %d", errNoPort, firstPort, endPort)
 }
 
-// take returns the block's next port that nothing listens on.
-func (b *portBlock) take() (int, bool) {
+// nextFree returns the block's next port that nothing listens on.
+func (b *portBlock) nextFree() (int, bool) {
 	for b.next < b.end {
 		p := b.next
 		b.next++
-		if free(p) {
+		if isFree(p) {
 			return p, true
 		}
 	}
 	return 0, false
 }
 
-// free reports whether nothing listens on a port. No process is started while it
-// is tried: until a child has replaced its program it holds all that was open when
-// it was forked, and the port would seem taken to the process it was found for.
-func free(port int) bool {
+// isFree reports whether nothing listens on a port. It holds the fork lock: a child
+// forked meanwhile would inherit the trial listener and keep it open until exec, and
+// the port would be taken when the process under test listens.
+func isFree(port int) bool {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	ln, err := listen(port)
--- a/loopback/ports_test.go
+++ b/loopback/ports_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	portsEnv = "LOOPBACK_PORTS" // how many ports a helper process asks for
+	portsEnv = "LOOPBACK_PORTS" // number of ports that a helper process allocates
 
-	helpers     = 8
-	helperPorts = 250 // a package's scenarios use up to this many
+	helpers        = 8
+	portsPerHelper = 250 // several blocks
 )
 
-// TestMain turns the test binary into a helper process where it is asked
-// for ports: it prints them and holds its claim until its input ends.
+// TestMain runs the test binary as a helper process if portsEnv is set: the helper
+// prints its ports and keeps them claimed until its standard input is closed.
 func TestMain(m *testing.M) {
 	n, err := strconv.Atoi(os.Getenv(portsEnv))
 	if err != nil {
@@ -37,8 +37,8 @@
 	io.Copy(io.Discard, os.Stdin)
 }
 
-// Packages are tested at the same time, each in its own process: none may be
-// given a port that another one has, though neither listens on it yet.
+// Test processes that run at the same time never get the same port, also before
+// anything listens on it.
 func TestPortsOfProcessesDiffer(t *testing.T) {
 	var outputs []*bufio.Scanner
 	for range helpers {
@@ -46,7 +46,7 @@
 	}
 	owners := map[string]int{}
 	for i, out := range outputs {
-		for range helperPorts {
+		for range portsPerHelper {
 			require.True(t, out.Scan(), "helper %d gave out too few ports", i)
 			owner, taken := owners[out.Text()]
 			require.False(t, taken, "port %s was given to helpers %d and %d", out.Text(), owner, i)
@@ -55,10 +55,10 @@
 	}
 }
 
-// startHelper starts a process that asks for ports and ends with the test.
+// startHelper starts a helper process that exits when the test ends.
 func startHelper(t *testing.T) *bufio.Scanner {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", portsEnv, helperPorts))
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", portsEnv, portsPerHelper))
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
 	require.NoError(t, err)
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -18,9 +18,9 @@
 const (
 	KindDelay   = loopback.Delay   // each piece of data is held for DelayMs
 	KindReset   = loopback.Reset   // all connections are reset, new ones too
-	KindCutTo   = loopback.CutTo   // what From sends does not arrive until the end
-	KindCutBack = loopback.CutBack // what To answers does not arrive until the end
-	KindSilence = loopback.Silence // both
+	KindCutTo   = loopback.BlockRequests   // what From sends does not arrive until the end
+	KindCutBack = loopback.BlockResponses // what To answers does not arrive until the end
+	KindSilence = loopback.BlockBoth // both
 
 	KindPause   = "pause"   // SIGSTOP, and SIGCONT at the end
 	KindKill    = "kill"    // SIGKILL, and a new start at the end
