--- a/rwtest/cases/cases.go
+++ b/rwtest/cases/cases.go
@@ -1,4 +1,4 @@
-// Package cases reads the data files of table tests.
+// Package cases loads the data files of table tests.
 package cases
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Load reads a YAML list of cases; an empty one fails the test.
-func Load[T any](t testing.TB, file string) []T {
-	t.Helper()
+// Load decodes a YAML list of cases. Unknown keys and an empty list fail the test.
+func Load[T any](tb testing.TB, file string) []T {
+	tb.Helper()
 	b, err := os.ReadFile(file)
-	require.NoError(t, err)
-	var out []T
-	require.NoError(t, yaml.UnmarshalWithOptions(b, &out, yaml.Strict()))
-	require.NotEmpty(t, out, file)
-	return out
+	require.NoError(tb, err)
+	var list []T
+	require.NoError(tb, yaml.UnmarshalWithOptions(b, &list, yaml.Strict()))
+	require.NotEmpty(tb, list, file)
+	return list
 }
--- a/rwtest/deployment.go
+++ b/rwtest/deployment.go
@@ -20,7 +20,7 @@
 )
 
 type (
-	// DeploymentOptions size an in-process deployment.
+	// DeploymentOptions sets the size of a deployment.
 	DeploymentOptions struct {
 		Engines  int
 		Services int
@@ -28,10 +28,9 @@
 		Batch    int
 	}
 
-	// Deployment is a whole deployment in one test process: platform,
-	// engine stand-ins, services, real agents and one entry, all on
-	// loopback. Benchmarks use it; the scripted tests run each part as its
-	// own process instead.
+	// Deployment is a deployment in one test process on loopback: stand-ins of
+	// the platform, the engines and the services, real agents and one entry
+	// instance. Benchmarks use it; scripted tests run separate processes.
 	Deployment struct {
 		Settings *settings.File
 		Entry    *entry.Entry
@@ -39,7 +38,7 @@
 		Engines  []*EngineServer
 	}
 
-	// EngineServer is one engine stand-in with its HTTP server.
+	// EngineServer is an engine stand-in with its HTTP server.
 	EngineServer struct {
 		Name    string
 		StandIn *engine.StandIn
@@ -51,8 +50,8 @@
 	}
 )
 
-// Kill drops every connection of the engine, as its death would; it keeps
-// listening, as an engine that died and came back.
+// Kill closes all connections of the engine, as a crash does. The engine keeps
+// listening, as after a restart.
 func (e *EngineServer) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,13 +60,13 @@
 	}
 }
 
-func (e *EngineServer) track(c net.Conn, st http.ConnState) {
+func (e *EngineServer) trackConn(c net.Conn, state http.ConnState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.conns == nil {
 		e.conns = map[net.Conn]bool{}
 	}
-	switch st {
+	switch state {
 	case http.StateNew:
 		e.conns[c] = true
 	case http.StateClosed, http.StateHijacked:
@@ -80,33 +79,33 @@
 	tb.Helper()
 	o.StepMs, o.Batch = max(o.StepMs, 1), max(o.Batch, 64)
 	p := StartPlatform(tb)
-	var lns []net.Listener
-	listen := func() string {
+	var listeners []net.Listener
+	reserveAddr := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			tb.Fatal(err)
 		}
-		lns = append(lns, ln)
+		listeners = append(listeners, ln)
 		return ln.Addr().String()
 	}
-	var y strings.Builder
-	fmt.Fprintf(&y, "deployment: bench\nzones: [Ate]\nplatform: {listen: %q, zone: Ate}\n", p.Addr)
-	fmt.Fprintf(&y, "timeouts: {stallMs: 300, heartbeatMs: 100, leaseMs: 1000, refreshMs: 50}\n")
-	fmt.Fprintf(&y, "engine: {stepMs: %d, batch: %d, loadLagMs: 100}\n", o.StepMs, o.Batch)
-	fmt.Fprintf(&y, "models: [{name: m, versions: [\"1\"]}]\norgs: [{name: o, models: [m]}]\n")
-	fmt.Fprintf(&y, "entries: [{name: en1, zone: Ate, listen: \"127.0.0.1:1\"}]\ntargets:\n")
+	var doc strings.Builder
+	fmt.Fprintf(&doc, "deployment: bench\nzones: [Ate]\nplatform: {listen: %q, zone: Ate}\n", p.Addr)
+	fmt.Fprintf(&doc, "timeouts: {stallMs: 300, heartbeatMs: 100, leaseMs: 1000, refreshMs: 50}\n")
+	fmt.Fprintf(&doc, "engine: {stepMs: %d, batch: %d, loadLagMs: 100}\n", o.StepMs, o.Batch)
+	fmt.Fprintf(&doc, "models: [{name: m, versions: [\"1\"]}]\norgs: [{name: o, models: [m]}]\n")
+	fmt.Fprintf(&doc, "entries: [{name: en1, zone: Ate, listen: \"127.0.0.1:1\"}]\ntargets:\n")
 	for i := range o.Engines {
-		fmt.Fprintf(&y, "  - {name: e%d, kind: engine, zone: Ate, listen: %q, agent: %q, models: [m]}\n", i, listen(), listen())
+		fmt.Fprintf(&doc, "  - {name: e%d, kind: engine, zone: Ate, listen: %q, agent: %q, models: [m]}\n", i, reserveAddr(), reserveAddr())
 	}
 	for i := range o.Services {
-		fmt.Fprintf(&y, "  - {name: s%d, kind: service, zone: Ate, listen: %q, agent: %q}\n", i, listen(), listen())
+		fmt.Fprintf(&doc, "  - {name: s%d, kind: service, zone: Ate, listen: %q, agent: %q}\n", i, reserveAddr(), reserveAddr())
 	}
-	cfg, err := settings.Parse([]byte(y.String()))
+	cfg, err := settings.Parse([]byte(doc.String()))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	for _, ln := range lns {
-		ln.Close() // the parts listen on these addresses themselves
+	for _, ln := range listeners {
+		ln.Close() // targets and agents listen on these addresses
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
@@ -115,22 +114,22 @@
 	for _, t := range cfg.Targets {
 		var h http.Handler
 		if t.Kind == settings.KindEngine {
-			s := engine.NewStandIn(engine.StandInConfig{Name: t.Name, Models: t.Models, Step: settings.Ms(o.StepMs),
+			standIn := engine.NewStandIn(engine.StandInConfig{Name: t.Name, Models: t.Models, Step: settings.Ms(o.StepMs),
 				Batch: o.Batch, CacheBlocks: 64, LoadLag: 100 * time.Millisecond}, log)
 			stop := make(chan struct{})
-			go s.Run(stop)
+			go standIn.Run(stop)
 			tb.Cleanup(func() { close(stop) })
-			h = s.Handler()
-			es := &EngineServer{Name: t.Name, StandIn: s}
-			es.srv = &http.Server{Handler: h, ConnState: es.track}
-			d.Engines = append(d.Engines, es)
+			h = standIn.Handler()
+			server := &EngineServer{Name: t.Name, StandIn: standIn}
+			server.srv = &http.Server{Handler: h, ConnState: server.trackConn}
+			d.Engines = append(d.Engines, server)
 			ln, err := net.Listen("tcp", t.Listen)
 			if err != nil {
 				tb.Fatal(err)
 			}
-			es.ln = ln
-			go es.srv.Serve(ln)
-			tb.Cleanup(func() { es.srv.Close() })
+			server.ln = ln
+			go server.srv.Serve(ln)
+			tb.Cleanup(func() { server.srv.Close() })
 		} else {
 			h = (&service.StandIn{Name: t.Name}).Handler()
 			srv := &http.Server{Handler: h}
@@ -160,6 +159,6 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	time.Sleep(150 * time.Millisecond) // a first load report from each agent
+	time.Sleep(150 * time.Millisecond) // for the first load report of each agent
 	return d
 }
--- a/rwtest/http.go
+++ b/rwtest/http.go
@@ -6,7 +6,7 @@
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
-func httpHandler(a *FakeAgent) http.Handler {
+func agentHandler(a *FakeAgent) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, err := wire.Accept(w, r)
 		if err != nil {
--- a/rwtest/rwtest.go
+++ b/rwtest/rwtest.go
@@ -1,5 +1,5 @@
-// Package rwtest holds helpers for tests: a platform stand-in on loopback,
-// fake agents that follow a script, and small settings files.
+// Package rwtest provides test helpers: a platform stand-in on loopback, scripted
+// fake agents, settings, and a whole deployment in the test process.
 package rwtest
 
 import (
@@ -19,24 +19,24 @@
 )
 
 type (
-	// Platform is a platform stand-in served on loopback for one test.
+	// Platform is a platform stand-in that is served on loopback.
 	Platform struct {
 		StandIn *platform.StandIn
 		Addr    string
 	}
 
-	// FakeAgent serves the wire protocol for a test. For each Start it
-	// generates the stand-in engine's token chain from the prefix, one token
-	// each Step, and calls Hook before each token; Hook may change what is
-	// sent.
+	// FakeAgent serves the wire protocol. For each Start message it continues the
+	// stand-in engine's deterministic token sequence after the prefix, with a
+	// pause of Step before each token. Hook, if set, is called before each
+	// token and may stop the attempt, delay it or replace the token.
 	FakeAgent struct {
 		Name  string
 		Addr  string
 		Step  time.Duration
 		Hook  func(m wire.Message, offset int) Action
 		Epoch uint64
-		Busy  atomic.Bool // refuses calls: not run
-		// Broken fails calls that may have run.
+		Busy  atomic.Bool // rejects calls before they run
+		// Broken makes calls fail without saying that they did not run.
 		Broken atomic.Bool
 
 		mu     sync.Mutex
@@ -48,24 +48,24 @@
 	Action struct {
 		Stop  bool          // end this attempt silently (a stall)
 		Delay time.Duration // wait before sending
-		Text  string        // send this text instead of the chain's
+		Text  string        // send this text instead of the token's
 	}
 )
 
 // StartPlatform serves a platform stand-in until the test ends.
-func StartPlatform(t testing.TB) *Platform {
-	t.Helper()
+func StartPlatform(tb testing.TB) *Platform {
+	tb.Helper()
 	s := &platform.StandIn{}
 	srv := httptest.NewServer(s.Handler())
-	t.Cleanup(srv.Close)
+	tb.Cleanup(srv.Close)
 	return &Platform{StandIn: s, Addr: strings.TrimPrefix(srv.URL, "http://")}
 }
 
-// StartAgent serves a fake agent and writes its lease row.
-func StartAgent(t testing.TB, p *Platform, a *FakeAgent, kind string, models []string) {
-	t.Helper()
-	srv := httptest.NewServer(httpHandler(a))
-	t.Cleanup(srv.Close)
+// StartAgent serves a fake agent until the test ends and writes its lease row.
+func StartAgent(tb testing.TB, p *Platform, a *FakeAgent, kind string, models []string) {
+	tb.Helper()
+	srv := httptest.NewServer(agentHandler(a))
+	tb.Cleanup(srv.Close)
 	a.Addr = strings.TrimPrefix(srv.URL, "http://")
 	if a.Epoch == 0 {
 		a.Epoch = 1
@@ -73,18 +73,18 @@
 	_, err := platform.NewClient(p.Addr, time.Second).Put(context.Background(), agent.LeasePrefix+a.Name, 0,
 		agent.LeaseValue{Target: a.Name, Kind: kind, Zone: "Ate", Agent: a.Addr, Models: models, Epoch: a.Epoch}, time.Minute)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
-// Runs returns how often a call with this idempotency key ran.
+// Runs returns the number of calls that ran with this idempotency key.
 func (a *FakeAgent) Runs(key string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.runs[key]
 }
 
-// Starts returns the Start messages the agent got.
+// Starts returns the Start messages that the agent has received.
 func (a *FakeAgent) Starts() []wire.Message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,38 +128,38 @@
 }
 
 func (a *FakeAgent) generate(ctx context.Context, c *wire.Conn, m wire.Message) {
-	last := ragworthitch.FirstToken(m.Model, m.Prompt, m.Seed)
-	off := len(m.Prefix)
-	if off > 0 {
-		last = m.Prefix[off-1]
+	token := ragworthitch.FirstToken(m.Model, m.Prompt, m.Seed)
+	offset := len(m.Prefix)
+	if offset > 0 {
+		token = m.Prefix[offset-1]
 	}
-	for ; off < m.MaxTokens; off++ {
-		if off > 0 {
-			last = ragworthitch.NextToken(last, off)
+	for ; offset < m.MaxTokens; offset++ {
+		if offset > 0 {
+			token = ragworthitch.NextToken(token, offset)
 		}
-		text := last
+		text := token
 		if a.Hook != nil {
-			act := a.Hook(m, off)
-			if act.Stop {
+			action := a.Hook(m, offset)
+			if action.Stop {
 				return
 			}
-			time.Sleep(act.Delay)
-			if act.Text != "" {
-				text = act.Text
+			time.Sleep(action.Delay)
+			if action.Text != "" {
+				text = action.Text
 			}
 		}
 		time.Sleep(a.Step)
-		if c.Send(ctx, wire.Message{Type: wire.TypeToken, RequestID: m.RequestID, Attempt: m.Attempt, Offset: off, Text: text}) != nil {
+		if c.Send(ctx, wire.Message{Type: wire.TypeToken, RequestID: m.RequestID, Attempt: m.Attempt, Offset: offset, Text: text}) != nil {
 			return
 		}
 	}
-	c.Send(ctx, wire.Message{Type: wire.TypeDone, RequestID: m.RequestID, Attempt: m.Attempt, Offset: off})
+	c.Send(ctx, wire.Message{Type: wire.TypeDone, RequestID: m.RequestID, Attempt: m.Attempt, Offset: offset})
 }
 
-// Settings returns settings for a test deployment on the given platform,
-// with one entry and no targets (fake agents write their own lease rows).
-func Settings(t testing.TB, platformAddr string) *settings.File {
-	t.Helper()
+// Settings returns settings with one entry instance and no targets; StartAgent
+// writes the lease rows of fake agents.
+func Settings(tb testing.TB, platformAddr string) *settings.File {
+	tb.Helper()
 	f, err := settings.Parse([]byte(`
 deployment: test
 zones: [Ate]
@@ -170,7 +170,7 @@
 entries: [{name: en1, zone: Ate, listen: "127.0.0.1:1"}]
 `))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return f
 }
