--- /dev/null
+++ b/soak/balancer.go
@@ -0,0 +1,93 @@
+package soak
+
+import (
+	"context"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/ragworthitch/ragworthitch/clock"
+	"github.com/ragworthitch/ragworthitch/platform"
+)
+
+const (
+	// The balancer checks every instance at this interval and stops using an instance
+	// after this number of failed checks in a row.
+	readyCheckInterval    = time.Second
+	readyFailureThreshold = 2
+)
+
+// balancer selects the instances of new connections by their readiness checks, as the
+// platform's balancer does.
+type balancer struct {
+	addrs []string
+	http  http.Client
+
+	mu       sync.Mutex
+	failures []int
+}
+
+func newBalancer(addrs []string) *balancer {
+	return &balancer{addrs: addrs, failures: make([]int, len(addrs)), http: http.Client{Timeout: readyCheckInterval}}
+}
+
+// run checks the instances until ctx ends.
+func (b *balancer) run(ctx context.Context) {
+	for {
+		var checks sync.WaitGroup
+		for n := range b.addrs {
+			checks.Go(func() { b.checkReady(n) })
+		}
+		if !clock.Sleep(ctx, readyCheckInterval) {
+			return
+		}
+		checks.Wait()
+	}
+}
+
+func (b *balancer) checkReady(n int) {
+	resp, err := b.http.Get("http://" + b.addrs[n] + platform.ReadyPath)
+	ok := err == nil && resp.StatusCode == http.StatusOK
+	if err == nil {
+		resp.Body.Close()
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if ok {
+		b.failures[n] = 0
+	} else {
+		b.failures[n]++
+	}
+}
+
+// pick selects a ready instance at random, or any instance if none is ready.
+func (b *balancer) pick(rng *rand.Rand) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var healthy []int
+	for n, failures := range b.failures {
+		if failures < readyFailureThreshold {
+			healthy = append(healthy, n)
+		}
+	}
+	if len(healthy) == 0 {
+		return rng.IntN(len(b.addrs))
+	}
+	return healthy[rng.IntN(len(healthy))]
+}
+
+// allReady checks all instances and reports whether every instance is ready.
+func (b *balancer) allReady() bool {
+	for n := range b.addrs {
+		b.checkReady(n)
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, failures := range b.failures {
+		if failures > 0 {
+			return false
+		}
+	}
+	return true
+}
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -20,74 +20,71 @@
 )
 
 const (
-	// callGap is the mean pause of a caller between two calls.
-	callGap = 150 * time.Millisecond
-	// connectTime is how long callers wait for a connection.
-	connectTime = time.Second
-	// patienceMore is how long after the time that they named callers hang
-	// up, to see late answers.
-	patienceMore = 1500 * time.Millisecond
-	// kept texts of answers are cut to this many bytes.
-	maxBody = 4 << 10
+	meanCallPause  = 150 * time.Millisecond
+	connectTimeout = time.Second
+	// lateAnswerWait is how long callers wait after a call's deadline, so that late
+	// answers are recorded.
+	lateAnswerWait = 1500 * time.Millisecond
+	maxBodyBytes   = 4 << 10
 )
 
-// caller calls one instance over one connection as long as it is served there,
-// and goes to another one in rotation when it is not.
+// caller sends its calls to one instance over one connection, and selects another instance
+// after a failed call or a closed connection.
 type caller struct {
-	play  *play
-	rng   *rand.Rand
-	n     int
-	calls int
-	entry int // it is connected to; -1: none
-	http  *http.Client
+	exec       *execution
+	rng        *rand.Rand
+	index      int
+	callCount  int
+	entryIndex int // of the connected instance; -1: none
+	http       *http.Client
 }
 
-// errCut means that a stream's bytes ended within an event.
-var errCut = errors.New("soak: bytes end within an event")
+// errPartialEvent means that a stream ended within an event.
+var errPartialEvent = errors.New("soak: stream ends within an event")
 
-func newCaller(p *play, n int) *caller {
-	c := &caller{play: p, n: n, entry: -1, rng: rand.New(rand.NewPCG(p.plan.Seed, uint64(100+n)))}
-	c.hangUp()
+func newCaller(x *execution, index int) *caller {
+	c := &caller{exec: x, index: index, entryIndex: -1, rng: rand.New(rand.NewPCG(x.plan.Seed, uint64(100+index)))}
+	c.disconnect()
 	return c
 }
 
-// hangUp has the next call use a new connection.
-func (c *caller) hangUp() {
+// disconnect makes the next call open a new connection.
+func (c *caller) disconnect() {
 	if c.http != nil {
 		c.http.CloseIdleConnections()
 	}
-	c.entry = -1
+	c.entryIndex = -1
 	c.http = &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DisableCompression: true,
-		DialContext: (&net.Dialer{Timeout: connectTime}).DialContext}}
+		DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext}}
 }
 
-// run calls until ctx ends.
+// run sends calls until ctx ends.
 func (c *caller) run(ctx context.Context) {
-	defer c.hangUp()
-	for clock.Sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(callGap))) {
-		if c.entry < 0 {
-			c.entry = c.play.rotation.pick(c.rng)
+	defer c.disconnect()
+	for clock.Sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(meanCallPause))) {
+		if c.entryIndex < 0 {
+			c.entryIndex = c.exec.balancer.pick(c.rng)
 		}
-		kind := c.kind()
-		call := c.prepare(kind, 0, "")
+		kind := c.drawKind()
+		call := c.newCall(kind, 0, "")
 		c.make(&call)
-		if kind == CallStream && len(call.IDs) > 0 && !call.Whole && ctx.Err() == nil {
+		if kind == CallStream && len(call.EventIDs) > 0 && !call.Complete && ctx.Err() == nil {
 			c.resume(ctx, call)
 		}
 	}
 }
 
-// resume goes on with a stream that was cut, once, elsewhere.
-func (c *caller) resume(ctx context.Context, before Call) {
-	if !clock.Sleep(ctx, callGap) {
+// resume continues an interrupted stream once, at an instance that the balancer selects.
+func (c *caller) resume(ctx context.Context, interrupted Call) {
+	if !clock.Sleep(ctx, meanCallPause) {
 		return
 	}
-	c.entry = c.play.rotation.pick(c.rng)
-	call := c.prepare(CallStream, before.After+len(before.IDs), before.Subject)
+	c.entryIndex = c.exec.balancer.pick(c.rng)
+	call := c.newCall(CallStream, interrupted.ResumeOffset+len(interrupted.EventIDs), interrupted.Subject)
 	c.make(&call)
 }
 
-func (c *caller) kind() string {
+func (c *caller) drawKind() string {
 	switch n := c.rng.IntN(20); {
 	case n < 6:
 		return CallStream
@@ -102,87 +99,86 @@
 	}
 }
 
-// prepare makes up the next call.
-func (c *caller) prepare(kind string, after int, subject string) Call {
-	c.calls++
+func (c *caller) newCall(kind string, resumeOffset int, subject string) Call {
+	c.callCount++
 	if subject == "" {
-		subject = fmt.Sprintf("%x%04x", c.n, c.calls)
+		subject = fmt.Sprintf("%x%04x", c.index, c.callCount)
 	}
-	call := Call{ID: fmt.Sprintf("%x-%d-%d.%s", c.play.plan.Seed, c.n, c.calls, subject), Kind: kind, Entry: fmt.Sprint(partEntry, c.entry),
-		Boot: c.play.entries[c.entry].bootNumber(), Key: keyFixed, Org: orgFixed,
-		Limit: plainLimit, After: after, Subject: subject}
+	call := Call{ID: fmt.Sprintf("%x-%d-%d.%s", c.exec.plan.Seed, c.index, c.callCount, subject), Kind: kind, Entry: fmt.Sprint(nodeEntry, c.entryIndex),
+		Boot: c.exec.entries[c.entryIndex].bootNumber(), Key: keyFixed, Org: orgFixed,
+		Timeout: plainTimeout, ResumeOffset: resumeOffset, Subject: subject}
 	switch kind {
 	case CallStream:
-		call.Path, call.Limit, call.Events = pathStream+"x", streamLimit, streamEvents
+		call.Path, call.Timeout, call.TotalEvents = pathStream+"x", streamTimeout, streamEvents
 	case CallSafe:
 		call.Path = pathSafe + "x"
 	case CallUnsafe:
 		call.Path = pathUnsafe + "x"
 	case CallRoute:
-		call.Path = routePath(c.play.operator.newest()) + "x"
+		call.Path = routePath(c.exec.operator.latestVersion()) + "x"
 	case CallKey:
-		v := c.play.operator.newest()
-		call.Path, call.Org = pathSafe+"x", orgChanging
-		call.Key = keyOf(max(1, v-c.rng.IntN(keysKept+2)))
+		v := c.exec.operator.latestVersion()
+		call.Path, call.Org = pathSafe+"x", orgRotating
+		call.Key = keyOf(max(1, v-c.rng.IntN(activeKeys+2)))
 	}
 	return call
 }
 
-// make makes the call and records it.
+// make sends the call and records its outcome.
 func (c *caller) make(call *Call) {
-	ctx, cancel := context.WithTimeout(context.Background(), call.Limit+patienceMore)
+	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout+lateAnswerWait)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { call.Connected = true }})
 	body := "{}"
-	if call.Deadly {
-		body = deadlyBody
+	if call.Poison {
+		body = poisonBody
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.play.frontOf(c.entry)+call.Path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.exec.frontAddrOf(c.entryIndex)+call.Path, strings.NewReader(body))
 	if err != nil {
-		panic(err) // every part of it is made up above
+		panic(err) // all parts of the request are constants or generated
 	}
 	req.Host = host
-	head := platform.CallerHead{ID: call.ID, Key: call.Key, Patience: call.Limit, After: call.After}
+	head := platform.CallerHead{ID: call.ID, Key: call.Key, Patience: call.Timeout, After: call.ResumeOffset}
 	if call.Kind == CallStream {
-		head.Stream = &platform.CallerStream{Model: model, Subject: call.Subject, Prompt: streamPrompt, Output: call.Events}
+		head.Stream = &platform.CallerStream{Model: model, Subject: call.Subject, Prompt: promptTokens, Output: call.TotalEvents}
 	}
 	head.Set(req.Header)
-	call.Sent = time.Now().UnixNano()
+	call.SentAt = time.Now().UnixNano()
 	resp, err := c.http.Do(req)
 	if err == nil {
-		c.read(call, resp)
+		c.readAnswer(call, resp)
 	} else {
 		call.Error = err.Error()
 	}
-	call.Ended = time.Now().UnixNano()
-	call.GaveUp = errors.Is(ctx.Err(), context.DeadlineExceeded)
-	c.play.record(*call)
-	if err != nil || !call.Whole || resp.Close || call.Status/100 != 2 {
-		c.hangUp()
+	call.EndedAt = time.Now().UnixNano()
+	call.TimedOut = errors.Is(ctx.Err(), context.DeadlineExceeded)
+	c.exec.recordCall(*call)
+	if err != nil || !call.Complete || resp.Close || call.Status/100 != 2 {
+		c.disconnect()
 	}
 }
 
-// read takes the answer.
-func (c *caller) read(call *Call, resp *http.Response) {
+// readAnswer reads the answer into the call.
+func (c *caller) readAnswer(call *Call, resp *http.Response) {
 	defer resp.Body.Close()
 	head := platform.ReadAnswerHead(resp.Header)
-	call.Status, call.Stamp, call.AnswerTo = resp.StatusCode, head.Stamp, head.Call
+	call.Status, call.Stamp, call.AnsweredCall = resp.StatusCode, head.Stamp, head.Call
 	var err error
 	if call.Kind == CallStream && call.Status == http.StatusOK {
 		err = call.readEvents(resp.Body)
 	} else {
 		var b []byte
-		b, err = io.ReadAll(io.LimitReader(resp.Body, maxBody))
+		b, err = io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 		call.Body = string(b)
 	}
-	call.Whole = err == nil
+	call.Complete = err == nil
 	if err != nil {
 		call.Error = err.Error()
 	}
 }
 
-// readEvents reads a stream's events. Bytes that end within an event are no
-// event, and an answer that ends so is not complete.
+// readEvents reads a stream's events. It discards a partial event at the end and returns
+// errPartialEvent.
 func (call *Call) readEvents(r io.Reader) error {
 	lines := bufio.NewReader(r)
 	id, text := 0, ""
@@ -193,13 +189,13 @@
 				return nil
 			}
 			if errors.Is(err, io.EOF) {
-				return errCut
+				return errPartialEvent
 			}
 			return err
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
-			call.IDs, call.Texts = append(call.IDs, id), append(call.Texts, text)
+			call.EventIDs, call.EventTexts = append(call.EventIDs, id), append(call.EventTexts, text)
 			id, text = 0, ""
 			continue
 		}
--- a/soak/check.go
+++ b/soak/check.go
@@ -9,167 +9,166 @@
 	"time"
 )
 
-// Promises that a play is held against.
+// Guarantees that Check verifies.
 const (
-	RuleOrder    = "ORDER"    // a stream's events are all there, once, in order, its own
-	RuleMixed    = "MIXED"    // an answer is the target's, whole, to this call
-	RuleTwice    = "TWICE"    // what may run once runs once
-	RuleNotRun   = "NOTRUN"   // a call answered as not run has not and does not
-	RuleUnasked  = "UNASKED"  // targets run what callers sent, for the right organisation
-	RuleRevoked  = "REVOKED"  // a removed key is refused in time
-	RuleDenied   = "DENIED"   // what every state allows is never denied
-	RuleCurrent  = "CURRENT"  // a new state is in force in time
-	RuleReverted = "REVERTED" // and stays so
-	RuleDrain    = "DRAIN"    // targets that leave get no more work
-	RuleLost     = "LOST"     // an instance that is told to end ends its calls
-	RuleFinal    = "FINAL"    // every call has its end in time
-	RuleAlive    = "ALIVE"    // no process ends by itself, or stays
+	RuleOrder    = "ORDER"    // a stream has all its events once, in order, and no events of other streams
+	RuleMixed    = "MIXED"    // an answer is complete and is the answer of the stamped target to this call
+	RuleTwice    = "TWICE"    // an unsafe call runs at most once
+	RuleNotRun   = "NOTRUN"   // a call that is rejected as not run never runs
+	RuleUnasked  = "UNASKED"  // targets get what callers sent, for the caller's organisation
+	RuleRevoked  = "REVOKED"  // a removed key is rejected within revokeDelay
+	RuleDenied   = "DENIED"   // a call that every version allows is never denied
+	RuleCurrent  = "CURRENT"  // a new version is in force within configDelay
+	RuleReverted = "REVERTED" // an instance does not return to an older version
+	RuleDrain    = "DRAIN"    // draining targets get no new calls
+	RuleLost     = "LOST"     // an instance completes its calls before it stops
+	RuleFinal    = "FINAL"    // every call ends by its deadline
+	RuleAlive    = "ALIVE"    // processes exit only when they are stopped, and in time
 	RuleUsage    = "USAGE"    // memory and descriptors stay within limits
-	RuleBack     = "BACK"     // after the last fault all works again
+	RuleBack     = "BACK"     // calls are served again after the last fault
 
-	RuleDeadly    = "DEADLY"    // a request that has crashed three targets is not run again
-	RuleBystander = "BYSTANDER" // one that has crashed none is not taken for one that did
+	RuleDeadly    = "DEADLY"    // a request that crashed crashesToQuarantine targets is not sent again
+	RuleBystander = "BYSTANDER" // a request that crashed no target is not quarantined
 )
 
 const (
-	// settle is how long after a fault an instance may still be touched by it:
-	// longer than it takes to find out and connect anew.
-	settle = 5 * time.Second
-	// storeSettle is the same for a fault of the store itself.
-	storeSettle = 8 * time.Second
-	// finalMore is how long after a call's limit its end may come; callers hang
-	// up half a second later.
-	finalMore = time.Second
-	// revertMore is within which calls that cross may be handled by either
-	// state.
-	revertMore = 250 * time.Millisecond
-	// drainMore is for a call's way to the target.
-	drainMore = 300 * time.Millisecond
-	// backTime is how long after the last fault all has to work, and backShare
-	// the least part of the calls that has to be served then.
-	backTime  = 5 * time.Second
-	backShare = 0.95
-	backCalls = 20 // fewer say nothing
-	// Limits of an instance's process: the smallest machines have 4,100
-	// descriptors.
-	maxFiles = 4000
+	// entrySettleTime is how long an instance may be affected after a fault: the time to
+	// detect the end of the fault and to reconnect.
+	entrySettleTime = 5 * time.Second
+	// storeSettleTime is the same for faults of the store.
+	storeSettleTime = 8 * time.Second
+	// deadlineTolerance is how long after its deadline a call may end. It is shorter than
+	// lateAnswerWait, so that late answers are seen.
+	deadlineTolerance = time.Second
+	// revertTolerance separates calls that can overlap in an instance, which may handle
+	// them by either version.
+	revertTolerance = 250 * time.Millisecond
+	// drainTolerance covers a call's way to the target.
+	drainTolerance = 300 * time.Millisecond
+	// Calls that are sent recoveryTime after the last fault or later have to be served,
+	// except for a share of 1-minServedShare.
+	recoveryTime     = 5 * time.Second
+	minServedShare   = 0.95
+	minRecoveryCalls = 20 // with fewer calls, the share is not checked
+	// maxOpenFiles is below the 4,100 descriptors of the smallest machines.
+	maxOpenFiles = 4000
 )
 
 type (
-	// Violation is a promise that was broken.
+	// Violation is a broken guarantee.
 	Violation struct {
 		Rule string
 		At   int64 // Unix ns
 		Text string
 	}
 
-	// checker holds a history, arranged for the checks.
+	// checker indexes a history for the checks.
 	checker struct {
-		h     History
-		calls map[string]*Call
-		runs  map[string][]Run // begun, by call
-		bad   []Violation
+		history    History
+		calls      map[string]*Call
+		attempts   map[string][]Record // RecordStarted records by call
+		violations []Violation
 	}
 )
 
-// Check holds what was seen against the promises.
+// Check returns the violations in a history.
 func Check(h History) []Violation {
-	c := &checker{h: h, calls: map[string]*Call{}, runs: map[string][]Run{}}
+	c := &checker{history: h, calls: map[string]*Call{}, attempts: map[string][]Record{}}
 	for i := range h.Calls {
 		c.calls[h.Calls[i].ID] = &h.Calls[i]
 	}
-	for _, r := range h.Runs {
-		if r.Kind == RunBegun {
-			c.runs[r.Call] = append(c.runs[r.Call], r)
+	for _, r := range h.Records {
+		if r.Kind == RecordStarted {
+			c.attempts[r.Call] = append(c.attempts[r.Call], r)
 		}
 	}
 	for i := range h.Calls {
-		c.answer(&h.Calls[i])
-		c.final(&h.Calls[i])
-		c.lost(&h.Calls[i])
-		c.state(&h.Calls[i])
-		c.key(&h.Calls[i])
-		c.bystander(&h.Calls[i])
-	}
-	for id, runs := range c.runs {
-		c.ran(id, runs)
-	}
-	c.reverted()
-	c.drained()
-	c.deadly()
-	c.processes()
-	c.back()
-	slices.SortFunc(c.bad, func(a, b Violation) int { return cmp.Or(cmp.Compare(a.At, b.At), strings.Compare(a.Text, b.Text)) })
-	return c.bad
+		c.checkAnswer(&h.Calls[i])
+		c.checkDeadline(&h.Calls[i])
+		c.checkShutdown(&h.Calls[i])
+		c.checkDesiredState(&h.Calls[i])
+		c.checkKey(&h.Calls[i])
+		c.checkBystander(&h.Calls[i])
+	}
+	for id, attempts := range c.attempts {
+		c.checkAttempts(id, attempts)
+	}
+	c.checkReverts()
+	c.checkDraining()
+	c.checkPoison()
+	c.checkProcesses()
+	c.checkRecovery()
+	slices.SortFunc(c.violations, func(a, b Violation) int { return cmp.Or(cmp.Compare(a.At, b.At), strings.Compare(a.Text, b.Text)) })
+	return c.violations
 }
 
-func (c *checker) broken(rule string, at int64, format string, args ...any) {
-	c.bad = append(c.bad, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
+func (c *checker) addViolation(rule string, at int64, format string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
 }
 
-// answer judges what a caller got.
-func (c *checker) answer(call *Call) {
-	if call.AnswerTo != "" && call.AnswerTo != call.ID {
-		c.broken(RuleMixed, call.Ended, "call %s got the answer to %s", call.ID, call.AnswerTo)
+// checkAnswer checks the answer that a caller received.
+func (c *checker) checkAnswer(call *Call) {
+	if call.AnsweredCall != "" && call.AnsweredCall != call.ID {
+		c.addViolation(RuleMixed, call.EndedAt, "call %s got the answer to call %s", call.ID, call.AnsweredCall)
 	}
 	if call.Status != http.StatusOK {
 		return
 	}
 	target := strings.TrimPrefix(call.Stamp, "stamp-")
-	if target == "" || !slices.ContainsFunc(c.runs[call.ID], func(r Run) bool { return r.Target == target }) {
-		c.broken(RuleMixed, call.Ended, "call %s: success with the stamp %q of a target that did not run it", call.ID, call.Stamp)
+	if target == "" || !slices.ContainsFunc(c.attempts[call.ID], func(r Record) bool { return r.Target == target }) {
+		c.addViolation(RuleMixed, call.EndedAt, "call %s: status 200 with stamp %q of a target that did not run the call", call.ID, call.Stamp)
 	}
 	if call.Kind == CallStream {
-		c.order(call)
+		c.checkEventOrder(call)
 		return
 	}
-	if call.Whole && call.Body != plainAnswer(call.ID, target) {
-		c.broken(RuleMixed, call.Ended, "call %s: body %q is not the answer of %s", call.ID, call.Body, target)
+	if call.Complete && call.Body != plainAnswer(call.ID, target) {
+		c.addViolation(RuleMixed, call.EndedAt, "call %s: body %q is not the answer of target %s", call.ID, call.Body, target)
 	}
 }
 
-func (c *checker) order(call *Call) {
-	next := call.After + 1
-	for i, id := range call.IDs {
-		if id != next || call.Texts[i] != eventText(call.Subject, id) {
-			c.broken(RuleOrder, call.Ended, "call %s: event %d %q where %d was due", call.ID, id, call.Texts[i], next)
+func (c *checker) checkEventOrder(call *Call) {
+	next := call.ResumeOffset + 1
+	for i, id := range call.EventIDs {
+		if id != next || call.EventTexts[i] != eventText(call.Subject, id) {
+			c.addViolation(RuleOrder, call.EndedAt, "call %s: event %d %q in place of event %d", call.ID, id, call.EventTexts[i], next)
 			return
 		}
 		next++
 	}
-	if call.Whole && next != call.Events+1 {
-		c.broken(RuleOrder, call.Ended, "call %s: ended as complete after event %d of %d", call.ID, next-1, call.Events)
+	if call.Complete && next != call.TotalEvents+1 {
+		c.addViolation(RuleOrder, call.EndedAt, "call %s: complete answer ends after event %d of %d", call.ID, next-1, call.TotalEvents)
 	}
 }
 
-// ran judges what targets did with a call.
-func (c *checker) ran(id string, runs []Run) {
+// checkAttempts checks the targets' records of a call.
+func (c *checker) checkAttempts(id string, attempts []Record) {
 	call := c.calls[id]
 	if call == nil {
-		return // under way when the play ended
+		return // the call was still running when the execution ended
 	}
-	if call.Kind == CallUnsafe && len(runs) > 1 {
-		c.broken(RuleTwice, runs[1].At, "call %s ran at %s and %s", id, runs[0].Target, runs[1].Target)
+	if call.Kind == CallUnsafe && len(attempts) > 1 {
+		c.addViolation(RuleTwice, attempts[1].At, "call %s ran at %s and %s", id, attempts[0].Target, attempts[1].Target)
 	}
-	if notRun(call.Status) {
-		c.broken(RuleNotRun, runs[0].At, "call %s was answered %d and ran at %s", id, call.Status, runs[0].Target)
+	if promisesNotRun(call.Status) {
+		c.addViolation(RuleNotRun, attempts[0].At, "call %s was rejected with status %d and ran at %s", id, call.Status, attempts[0].Target)
 	}
 	want := serviceApp
 	if call.Kind == CallStream {
 		want = serviceLLM
 	}
-	for _, r := range runs {
-		if r.KeyPassed || r.Org != call.Org || r.Path != call.Path || r.After < call.After {
-			c.broken(RuleUnasked, r.At, "call %s ran at %s with path %q, organisation %q, key passed %v, after event %d", id, r.Target, r.Path, r.Org, r.KeyPassed, r.After)
+	for _, r := range attempts {
+		if r.KeyPassed || r.Org != call.Org || r.Path != call.Path || r.ResumeOffset < call.ResumeOffset {
+			c.addViolation(RuleUnasked, r.At, "call %s ran at %s with path %q, organisation %q, key passed %v, after event %d", id, r.Target, r.Path, r.Org, r.KeyPassed, r.ResumeOffset)
 		}
 		if r.Service != want {
-			c.broken(RuleUnasked, r.At, "call %s ran at service %s", id, r.Service)
+			c.addViolation(RuleUnasked, r.At, "call %s ran at service %s", id, r.Service)
 		}
 	}
 }
 
-// notRun reports whether a status promises that the call did not run.
-func notRun(status int) bool {
+// promisesNotRun reports whether a status promises that the call has not run.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -177,186 +176,186 @@
 	return false
 }
 
-// key judges calls by their keys.
-func (c *checker) key(call *Call) {
+// checkKey checks calls with keys that are added and removed.
+func (c *checker) checkKey(call *Call) {
 	if call.Kind != CallKey {
 		return
 	}
-	for _, ch := range c.h.Changes {
-		if ch.Revoked == call.Key && ch.Acked != 0 && call.Sent > ch.Acked+int64(revokeTime) && len(c.runs[call.ID]) > 0 {
-			c.broken(RuleRevoked, call.Sent, "call %s ran with %s, which version %d removed %.1f s before", call.ID, call.Key, ch.Version, seconds(call.Sent-ch.Acked))
+	for _, ch := range c.history.Changes {
+		if ch.RevokedKey == call.Key && ch.AckedAt != 0 && call.SentAt > ch.AckedAt+int64(revokeDelay) && len(c.attempts[call.ID]) > 0 {
+			c.addViolation(RuleRevoked, call.SentAt, "call %s ran with %s, which version %d had removed %.1f s before", call.ID, call.Key, ch.Version, seconds(call.SentAt-ch.AckedAt))
 		}
-		if ch.NewKey == call.Key && call.Status == http.StatusUnauthorized && c.inForce(ch, call) && !c.mayBeRemoved(call, func(o Change) bool { return o.Revoked == call.Key }) {
-			c.broken(RuleCurrent, call.Sent, "call %s at %s: %s is unknown %.1f s after version %d", call.ID, call.Entry, call.Key, seconds(call.Sent-ch.Acked), ch.Version)
+		if ch.AddedKey == call.Key && call.Status == http.StatusUnauthorized && c.mustBeInForce(ch, call) && !c.mayBeRemoved(call, func(o Change) bool { return o.RevokedKey == call.Key }) {
+			c.addViolation(RuleCurrent, call.SentAt, "call %s at %s: %s rejected %.1f s after version %d added it", call.ID, call.Entry, call.Key, seconds(call.SentAt-ch.AckedAt), ch.Version)
 		}
 	}
 }
 
-// state judges how current the state is by which a call was handled.
-func (c *checker) state(call *Call) {
+// checkDesiredState checks which version a call was handled by.
+func (c *checker) checkDesiredState(call *Call) {
 	denied := call.Status == http.StatusNotFound || call.Status == http.StatusUnauthorized || call.Status == http.StatusForbidden
 	switch {
 	case denied && call.Kind != CallRoute && call.Kind != CallKey, call.Status == http.StatusUnauthorized && call.Kind == CallRoute:
-		c.broken(RuleDenied, call.Ended, "call %s at %s: %d for what every version allows", call.ID, call.Entry, call.Status)
+		c.addViolation(RuleDenied, call.EndedAt, "call %s at %s: status %d, though every version allows the call", call.ID, call.Entry, call.Status)
 		return
 	case call.Kind != CallRoute:
 		return
 	}
-	for _, ch := range c.h.Changes {
-		removed := func(o Change) bool { return o.Removed != "" && strings.HasPrefix(call.Path, o.Removed) }
-		if strings.HasPrefix(call.Path, ch.Added) && call.Status == http.StatusNotFound && c.inForce(ch, call) && !c.mayBeRemoved(call, removed) {
-			c.broken(RuleCurrent, call.Sent, "call %s at %s: no route %.1f s after version %d", call.ID, call.Entry, seconds(call.Sent-ch.Acked), ch.Version)
+	for _, ch := range c.history.Changes {
+		removesRoute := func(o Change) bool { return o.RemovedRoute != "" && strings.HasPrefix(call.Path, o.RemovedRoute) }
+		if strings.HasPrefix(call.Path, ch.AddedRoute) && call.Status == http.StatusNotFound && c.mustBeInForce(ch, call) && !c.mayBeRemoved(call, removesRoute) {
+			c.addViolation(RuleCurrent, call.SentAt, "call %s at %s: no route %.1f s after version %d added it", call.ID, call.Entry, seconds(call.SentAt-ch.AckedAt), ch.Version)
 		}
-		if removed(ch) && call.Status == http.StatusOK && c.inForce(ch, call) {
-			c.broken(RuleCurrent, call.Sent, "call %s at %s: served %.1f s after version %d removed its route", call.ID, call.Entry, seconds(call.Sent-ch.Acked), ch.Version)
+		if removesRoute(ch) && call.Status == http.StatusOK && c.mustBeInForce(ch, call) {
+			c.addViolation(RuleCurrent, call.SentAt, "call %s at %s: served %.1f s after version %d removed its route", call.ID, call.Entry, seconds(call.SentAt-ch.AckedAt), ch.Version)
 		}
 	}
 }
 
-// inForce reports whether a change has to be in force at the call's instance.
-func (c *checker) inForce(ch Change, call *Call) bool {
-	return ch.Acked != 0 && call.Sent > ch.Acked+int64(configTime) && c.calm(call.Entry, ch.Acked, call.Ended)
+// mustBeInForce reports whether a change has to be in force at the instance when it
+// handles the call.
+func (c *checker) mustBeInForce(ch Change, call *Call) bool {
+	return ch.AckedAt != 0 && call.SentAt > ch.AckedAt+int64(configDelay) && c.entrySeesStore(call.Entry, ch.AckedAt, call.EndedAt)
 }
 
-// mayBeRemoved reports whether a later version that removes what the call
-// needs may be in force.
+// mayBeRemoved reports whether a version that removes what the call needs may be in force.
 func (c *checker) mayBeRemoved(call *Call, removes func(Change) bool) bool {
-	return slices.ContainsFunc(c.h.Changes, func(o Change) bool { return removes(o) && o.Sent < call.Ended })
+	return slices.ContainsFunc(c.history.Changes, func(o Change) bool { return removes(o) && o.SentAt < call.EndedAt })
 }
 
-// reverted finds calls that an instance handled by an older state than one
-// that it had shown before.
-func (c *checker) reverted() {
-	shown := map[string][]*Call{} // by boot: calls on versions' routes that were served
+// checkReverts finds calls that an instance handled by an older version than an earlier
+// call.
+func (c *checker) checkReverts() {
+	served := map[string][]*Call{} // served calls of CallRoute, by process of an instance
 	boot := func(call *Call) string { return fmt.Sprint(call.Entry, "/", call.Boot) }
-	for i := range c.h.Calls {
-		if call := &c.h.Calls[i]; call.Kind == CallRoute && call.Status == http.StatusOK {
-			shown[boot(call)] = append(shown[boot(call)], call)
+	for i := range c.history.Calls {
+		if call := &c.history.Calls[i]; call.Kind == CallRoute && call.Status == http.StatusOK {
+			served[boot(call)] = append(served[boot(call)], call)
 		}
 	}
-	for i := range c.h.Calls {
-		call := &c.h.Calls[i]
+	for i := range c.history.Calls {
+		call := &c.history.Calls[i]
 		if call.Kind != CallRoute || call.Status != http.StatusNotFound {
 			continue
 		}
-		removed := func(o Change) bool { return o.Removed != "" && strings.HasPrefix(call.Path, o.Removed) }
-		if c.mayBeRemoved(call, removed) {
+		removesRoute := func(o Change) bool { return o.RemovedRoute != "" && strings.HasPrefix(call.Path, o.RemovedRoute) }
+		if c.mayBeRemoved(call, removesRoute) {
 			continue
 		}
-		for _, s := range shown[boot(call)] {
-			if c.version(s.Path) >= c.version(call.Path) && s.Ended+int64(revertMore) < call.Sent {
-				c.broken(RuleReverted, call.Sent, "call %s at %s: no route of version %d, though call %s was served by version %d before", call.ID, call.Entry,
-					c.version(call.Path), s.ID, c.version(s.Path))
+		for _, earlier := range served[boot(call)] {
+			if c.routeVersion(earlier.Path) >= c.routeVersion(call.Path) && earlier.EndedAt+int64(revertTolerance) < call.SentAt {
+				c.addViolation(RuleReverted, call.SentAt, "call %s at %s: no route of version %d, though call %s was served by version %d earlier", call.ID, call.Entry,
+					c.routeVersion(call.Path), earlier.ID, c.routeVersion(earlier.Path))
 				break
 			}
 		}
 	}
 }
 
-// version is the one that added the route of a path.
-func (c *checker) version(path string) int {
-	for _, ch := range c.h.Changes {
-		if strings.HasPrefix(path, ch.Added) {
+// routeVersion returns the version that added the route of a path; 0: none.
+func (c *checker) routeVersion(path string) int {
+	for _, ch := range c.history.Changes {
+		if strings.HasPrefix(path, ch.AddedRoute) {
 			return ch.Version
 		}
 	}
 	return 0
 }
 
-// final judges when a call ended.
-func (c *checker) final(call *Call) {
-	late := call.Ended - call.Sent - int64(call.Limit)
-	if (call.GaveUp || late > int64(finalMore)) && call.Connected && c.undisturbed(call.Entry, call.Sent, call.Ended) {
-		c.broken(RuleFinal, call.Ended, "call %s at %s has no end %.1f s after its limit", call.ID, call.Entry, seconds(late))
+// checkDeadline checks that a call ended by its deadline.
+func (c *checker) checkDeadline(call *Call) {
+	overdue := call.EndedAt - call.SentAt - int64(call.Timeout)
+	if (call.TimedOut || overdue > int64(deadlineTolerance)) && call.Connected && c.entryUndisturbed(call.Entry, call.SentAt, call.EndedAt) {
+		c.addViolation(RuleFinal, call.EndedAt, "call %s at %s: ended, or was given up, %.1f s after its deadline", call.ID, call.Entry, seconds(overdue))
 	}
 }
 
-// lost judges calls that an instance had passed on when it was told to end, or
-// to read its settings again, while nothing else was wrong.
-func (c *checker) lost(call *Call) {
-	if call.Whole || len(c.runs[call.ID]) == 0 || call.Deadly {
+// checkShutdown checks that calls were completed that an instance had sent to a target
+// before it was stopped or reloaded, if no other fault may have interrupted them.
+func (c *checker) checkShutdown(call *Call) {
+	if call.Complete || len(c.attempts[call.ID]) == 0 || call.Poison {
 		return
 	}
-	planned := func(t Trouble) bool {
+	isShutdown := func(t InjectedFault) bool {
 		return (t.Kind == KindStop || t.Kind == KindReload) && t.Fault.From == call.Entry
 	}
-	around := slices.ContainsFunc(c.h.Troubles, func(t Trouble) bool { return planned(t) && t.overlaps(call.Sent, call.Ended) })
-	if around && !slices.ContainsFunc(c.h.Troubles, func(t Trouble) bool { return !planned(t) && c.harms(t, call) }) {
-		c.broken(RuleLost, call.Ended, "call %s at %s was cut as the instance ended: %s", call.ID, call.Entry, call.Error)
+	duringShutdown := slices.ContainsFunc(c.history.Faults, func(t InjectedFault) bool { return isShutdown(t) && t.overlaps(call.SentAt, call.EndedAt) })
+	if duringShutdown && !slices.ContainsFunc(c.history.Faults, func(t InjectedFault) bool { return !isShutdown(t) && c.mayInterrupt(t, call) }) {
+		c.addViolation(RuleLost, call.EndedAt, "call %s at %s was interrupted by the instance's stop or reload: %s", call.ID, call.Entry, call.Error)
 	}
 }
 
-// harms reports whether a fault may have ended a call: one of its instance, of
-// a target that ran it, or of a way between them.
-func (c *checker) harms(t Trouble, call *Call) bool {
-	if !t.overlaps(call.Sent-int64(settle), call.Ended) {
+// mayInterrupt reports whether a fault may have interrupted a call: a fault of its
+// instance, of a target that ran the call, or of a link between them.
+func (c *checker) mayInterrupt(t InjectedFault, call *Call) bool {
+	if !t.overlaps(call.SentAt-int64(entrySettleTime), call.EndedAt) {
 		return false
 	}
-	return t.touches(call.Entry, partCallers) || slices.ContainsFunc(c.runs[call.ID], func(r Run) bool { return t.touches(r.Slot, call.Entry) })
+	return t.affects(call.Entry, nodeCallers) || slices.ContainsFunc(c.attempts[call.ID], func(r Record) bool { return t.affects(r.Node, call.Entry) })
 }
 
-// drained judges what reached targets that were leaving.
-func (c *checker) drained() {
-	for _, leaving := range c.h.Runs {
-		if leaving.Kind != RunLeaving {
+// checkDraining checks that no calls reached draining targets.
+func (c *checker) checkDraining() {
+	for _, draining := range c.history.Records {
+		if draining.Kind != RecordDraining {
 			continue
 		}
-		until := leaving.At + int64(drainTime+drainMore)
-		for _, r := range c.h.Runs {
+		until := draining.At + int64(drainPeriod+drainTolerance)
+		for _, r := range c.history.Records {
 			call := c.calls[r.Call]
-			if r.Kind == RunBegun && r.Target == leaving.Target && r.At > until && call != nil && c.calm(call.Entry, leaving.At, r.At) {
-				c.broken(RuleDrain, r.At, "call %s reached %s %.1f s after it was known to leave", r.Call, r.Target, seconds(r.At-leaving.At))
+			if r.Kind == RecordStarted && r.Target == draining.Target && r.At > until && call != nil && c.entrySeesStore(call.Entry, draining.At, r.At) {
+				c.addViolation(RuleDrain, r.At, "call %s reached %s %.1f s after the store had its draining row", r.Call, r.Target, seconds(r.At-draining.At))
 			}
 		}
 	}
 }
 
-func (c *checker) processes() {
-	for _, d := range c.h.Deaths {
-		c.broken(RuleAlive, d.At, "%s: %s", d.Part, d.Error)
+func (c *checker) checkProcesses() {
+	for _, exit := range c.history.Exits {
+		c.addViolation(RuleAlive, exit.At, "%s: %s", exit.Node, exit.Error)
 	}
-	for _, u := range c.h.Usage {
-		if u.MB > memoryMB || u.Files > maxFiles {
-			c.broken(RuleUsage, u.At, "%s uses %d MB and %d descriptors", u.Part, u.MB, u.Files)
+	for _, u := range c.history.Usage {
+		if u.MemoryMB > memoryLimitMB || u.OpenFiles > maxOpenFiles {
+			c.addViolation(RuleUsage, u.At, "%s uses %d MB and %d descriptors", u.Node, u.MemoryMB, u.OpenFiles)
 		}
 	}
 }
 
-// back judges how much is served when all faults are over.
-func (c *checker) back() {
+// checkRecovery checks the share of served calls after the last fault.
+func (c *checker) checkRecovery() {
 	var from int64
-	for _, t := range c.h.Troubles {
-		from = max(from, t.Over)
+	for _, t := range c.history.Faults {
+		from = max(from, t.EndedAt)
 	}
-	served, all := 0, 0
-	for _, call := range c.h.Calls {
-		if call.Sent < from+int64(backTime) || !call.counts() {
+	served, total := 0, 0
+	for _, call := range c.history.Calls {
+		if call.SentAt < from+int64(recoveryTime) || !call.mustBeServed() {
 			continue
 		}
-		all++
+		total++
 		if call.served() {
 			served++
 		}
 	}
-	if all >= backCalls && float64(served) < backShare*float64(all) {
-		c.broken(RuleBack, from+int64(backTime), "%d of %d calls served after all faults", served, all)
+	if total >= minRecoveryCalls && float64(served) < minServedShare*float64(total) {
+		c.addViolation(RuleBack, from+int64(recoveryTime), "%d of %d calls served after the last fault", served, total)
 	}
 }
 
-// undisturbed reports whether no fault touched an instance, or callers' way to
-// it, within some time.
-func (c *checker) undisturbed(entry string, from, to int64) bool {
-	return !slices.ContainsFunc(c.h.Troubles, func(t Trouble) bool { return t.touches(entry, partCallers) && t.overlaps(from, to) })
+// entryUndisturbed reports whether neither the instance nor its link from the callers had
+// a fault in an interval.
+func (c *checker) entryUndisturbed(entry string, from, to int64) bool {
+	return !slices.ContainsFunc(c.history.Faults, func(t InjectedFault) bool { return t.affects(entry, nodeCallers) && t.overlaps(from, to) })
 }
 
-// calm reports whether an instance, its way to the store and the store were
-// without a fault within some time, and long enough before.
-func (c *checker) calm(entry string, from, to int64) bool {
-	return !slices.ContainsFunc(c.h.Troubles, func(t Trouble) bool {
-		return t.touches(partStore, "") && t.overlaps(from-int64(storeSettle), to) || t.touches(entry, partStore) && t.overlaps(from-int64(settle), to)
+// entrySeesStore reports whether the store, the instance and the link between them had no
+// fault in an interval, nor shortly before.
+func (c *checker) entrySeesStore(entry string, from, to int64) bool {
+	return !slices.ContainsFunc(c.history.Faults, func(t InjectedFault) bool {
+		return t.affects(nodeStore, "") && t.overlaps(from-int64(storeSettleTime), to) || t.affects(entry, nodeStore) && t.overlaps(from-int64(entrySettleTime), to)
 	})
 }
 
-func (t Trouble) overlaps(from, to int64) bool { return t.Begun < to && t.Over > from }
+func (t InjectedFault) overlaps(from, to int64) bool { return t.StartedAt < to && t.EndedAt > from }
 
 func seconds(ns int64) float64 { return float64(ns) / float64(time.Second) }
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -11,42 +11,42 @@
 	"github.com/ragworthitch/ragworthitch/rwtest/cases"
 )
 
-// checkCase is a history, times in ms, and the promises that it breaks.
+// checkCase is a history, with times in ms, and the rules that it violates.
 type checkCase struct {
-	Name     string
-	Repeat   int // each call, under as many ids
-	Calls    []Call
-	Runs     []Run
-	Changes  []Change
-	Troubles []struct {
+	Name    string
+	Copies  int // of each call, with ids of their own
+	Calls   []Call
+	Records []Record
+	Changes []Change
+	Faults  []struct {
 		Kind, From, To string
-		Begun, Over    int64
+		Start, End     int64
 	}
-	Deaths []Death
-	Usage  []Usage
-	Broken []string
+	Exits    []UnexpectedExit
+	Usage    []Usage
+	Violated []string
 }
 
-// TestCheck seeds the records of a play with one fault each: the checks have to
-// find every one of them, and nothing in what is allowed.
+// Check finds the violation in each history, and none in histories that keep all
+// guarantees.
 func TestCheck(t *testing.T) {
 	for _, tt := range cases.Load[checkCase](t, "testdata/check.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
-			rules := []string{}
+			violated := []string{}
 			for _, v := range Check(tt.history()) {
-				if !slices.Contains(rules, v.Rule) {
-					rules = append(rules, v.Rule)
+				if !slices.Contains(violated, v.Rule) {
+					violated = append(violated, v.Rule)
 				}
 			}
-			slices.Sort(rules)
-			assert.Equal(t, tt.Broken, rules)
+			slices.Sort(violated)
+			assert.Equal(t, tt.Violated, violated)
 		})
 	}
 }
 
 func (tt *checkCase) history() History {
-	h := History{Calls: slices.Clone(tt.Calls), Runs: slices.Clone(tt.Runs), Changes: slices.Clone(tt.Changes), Deaths: tt.Deaths, Usage: tt.Usage}
-	for n := 1; n < tt.Repeat; n++ {
+	h := History{Calls: slices.Clone(tt.Calls), Records: slices.Clone(tt.Records), Changes: slices.Clone(tt.Changes), Exits: tt.Exits, Usage: tt.Usage}
+	for n := 1; n < tt.Copies; n++ {
 		for _, c := range tt.Calls {
 			c.ID = fmt.Sprint(c.ID, n)
 			h.Calls = append(h.Calls, c)
@@ -54,32 +54,32 @@
 	}
 	for i := range h.Calls {
 		c := &h.Calls[i]
-		ns(&c.Sent, &c.Ended)
-		c.Limit = plainLimit
+		toNanoseconds(&c.SentAt, &c.EndedAt)
+		c.Timeout = plainTimeout
 		c.Connected = true
 		if c.Kind == CallStream {
-			c.Limit, c.Events = streamLimit, 4
+			c.Timeout, c.TotalEvents = streamTimeout, 4
 		}
-		for _, n := range c.IDs[len(c.Texts):] { // texts are given where they are wrong
-			c.Texts = append(c.Texts, eventText(c.Subject, n))
+		for _, n := range c.EventIDs[len(c.EventTexts):] { // a case lists only texts that are wrong
+			c.EventTexts = append(c.EventTexts, eventText(c.Subject, n))
 		}
 	}
-	for i := range h.Runs {
-		ns(&h.Runs[i].At)
+	for i := range h.Records {
+		toNanoseconds(&h.Records[i].At)
 	}
 	for i := range h.Changes {
-		ns(&h.Changes[i].Sent, &h.Changes[i].Acked)
+		toNanoseconds(&h.Changes[i].SentAt, &h.Changes[i].AckedAt)
 	}
-	for _, tr := range tt.Troubles {
-		ns(&tr.Begun, &tr.Over)
-		h.Troubles = append(h.Troubles, Trouble{Fault: Fault{Kind: tr.Kind, From: tr.From, To: tr.To}, Begun: tr.Begun, Over: tr.Over})
+	for _, f := range tt.Faults {
+		toNanoseconds(&f.Start, &f.End)
+		h.Faults = append(h.Faults, InjectedFault{Fault: Fault{Kind: f.Kind, From: f.From, To: f.To}, StartedAt: f.Start, EndedAt: f.End})
 	}
 	return h
 }
 
-// ns turns ms into ns.
-func ns(ms ...*int64) {
-	for _, t := range ms {
-		*t *= int64(time.Millisecond)
+// toNanoseconds converts values from ms in place.
+func toNanoseconds(ms ...*int64) {
+	for _, v := range ms {
+		*v *= int64(time.Millisecond)
 	}
 }
--- /dev/null
+++ b/soak/deployment.go
@@ -0,0 +1,113 @@
+package soak
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/ragworthitch/ragworthitch"
+	"github.com/ragworthitch/ragworthitch/platform"
+)
+
+const (
+	nodeCallers = "callers"
+	nodeStore   = "store"
+	nodeEntry   = "entry"
+	nodeEngine  = "engine"
+	nodeService = "service"
+
+	host          = "soak.example"
+	pathStream    = "/stream/"
+	pathSafe      = "/look/"
+	pathUnsafe    = "/pay/"
+	serviceLLM    = "llm"
+	serviceApp    = "app"
+	model         = "m"
+	orgFixed      = "taller"
+	orgRotating   = "molino"
+	keyFixed      = "key-fixed"
+	activeRoutes  = 3 // routes of the latest versions that exist
+	activeKeys    = 2 // keys of the latest versions that are valid
+	streamTimeout = 8 * time.Second
+	plainTimeout  = 3 * time.Second
+	streamEvents  = 60
+	promptTokens  = 800
+
+	// Bounds in the instances' settings.
+	configDelay   = 2 * time.Second // until a new version is in force
+	revokeDelay   = 5 * time.Second // until a removed key is rejected
+	gracePeriod   = 6 * time.Second // from SIGTERM to the exit
+	memoryLimitMB = 200
+)
+
+// zones are assigned to the nodes in turn.
+var zones = []string{"norte", "sur", "este"}
+
+func zoneOf(n int) string { return zones[n%len(zones)] }
+
+// entryLinkHost returns the loopback address on which the outgoing links of the nth
+// instance listen. Instances of a zone share these links, because they exchange what they
+// read from the store, addresses included. A shared link has the name of the zone's first
+// instance.
+func entryLinkHost(n int) string { return fmt.Sprintf("127.0.%d.1", n%len(zones)+1) }
+
+// zoneFirsts returns the first instance of each zone, whose outgoing links the zone
+// shares.
+func (x *execution) zoneFirsts() []*entry { return x.entries[:min(len(x.entries), len(zones))] }
+
+const (
+	processHost    = "127.0.0.1"   // where the processes listen
+	callerLinkHost = "127.0.200.1" // where callers reach the instances
+	targetLinkHost = "127.0.201.1" // where targets reach the store
+)
+
+// Retry budget in the instances' settings.
+const (
+	retryBudgetRatio  = 0.8
+	retryBudgetExtra  = 150
+	retryBudgetWindow = 10 * time.Second
+)
+
+// bootSettings returns an instance's settings. The instance reaches the store through its
+// link, and gets rows from it with addresses of links in place of those of targets and
+// peers.
+func (e *entry) bootSettings(n int) platform.Boot {
+	return platform.NewBoot(platform.BootParams{Node: e.name, Zone: zoneOf(n), Front: e.frontAddr, Ready: e.readyAddr, Internal: e.internalAddr,
+		Store: entryLinkHost(n) + portSuffix(e.storeAddr), Memory: memoryLimitMB << 20,
+		Bounds: platform.Bounds{Config: configDelay, Revoke: revokeDelay, Grace: gracePeriod, BudgetRatio: retryBudgetRatio, BudgetSpan: retryBudgetWindow, BudgetExtra: retryBudgetExtra}})
+}
+
+// desiredState returns a version of the desired state: the fixed routes, and the routes
+// and keys of the latest versions.
+func desiredState(version int) ([]byte, error) {
+	route := func(name, prefix string, kind ragworthitch.CallKind, service string, timeout time.Duration) ragworthitch.RouteParams {
+		return ragworthitch.RouteParams{Name: name, Host: host, Prefix: prefix, Kind: kind, Timeout: timeout, Target: timeout / 4, MaxTargets: 4, Priority: 1,
+			Shares: []ragworthitch.Share{{Service: service, Weight: 1}}}
+	}
+	stream := route("streams", pathStream, ragworthitch.CallStream, serviceLLM, streamTimeout)
+	stream.Resumable, stream.Sticky, stream.GapTarget = true, true, 700*time.Millisecond
+	routes := []ragworthitch.Route{ragworthitch.NewRoute(stream),
+		ragworthitch.NewRoute(route("looks", pathSafe, ragworthitch.CallSafe, serviceApp, plainTimeout)),
+		ragworthitch.NewRoute(route("payments", pathUnsafe, ragworthitch.CallUnsafe, serviceApp, plainTimeout))}
+	for v := max(1, version-activeRoutes+1); v <= version; v++ {
+		routes = append(routes, ragworthitch.NewRoute(route(fmt.Sprint("version-", v), routePath(v), ragworthitch.CallSafe, serviceApp, plainTimeout)))
+	}
+	var keys []string
+	for v := max(1, version-activeKeys+1); v <= version; v++ {
+		keys = append(keys, keyOf(v))
+	}
+	d, err := ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: int64(version), Routes: routes,
+		Services: []ragworthitch.Service{
+			ragworthitch.NewService(ragworthitch.ServiceParams{Name: serviceLLM, HealthPath: pathHealth, MaxConns: 400,
+				Engine: &ragworthitch.Engine{Slots: targetSlots, KVTokens: 55000, Moves: true, Backups: true, Stride: 1, CopyExpiry: replicaExpiry}}),
+			ragworthitch.NewService(ragworthitch.ServiceParams{Name: serviceApp, HealthPath: pathHealth, MaxConns: 400})},
+		Limits: ragworthitch.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second},
+		Orgs: []ragworthitch.Organisation{ragworthitch.NewOrganisation(orgFixed, []string{keyFixed}, 1),
+			ragworthitch.NewOrganisation(orgRotating, keys, 1)}})
+	if err != nil {
+		return nil, err
+	}
+	return platform.EncodeDesired(d)
+}
+
+func routePath(version int) string { return fmt.Sprintf("/version-%d/", version) }
+func keyOf(version int) string     { return fmt.Sprint("key-of-", version) }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,15 +1,14 @@
 // Package soak runs the real programs as separate processes on one machine,
-// injects faults from outside them, and judges what callers and targets saw.
+// injects faults from outside, and checks what callers and targets recorded.
 //
-// A play has one store, several entry instances, model engines and plain
-// services, each its own process, and a loopback relay between every pair of
-// them that talk. A plan, drawn from a seed, says which processes are stopped,
-// paused, killed and started again, which ways are slowed, reset, cut or
-// silenced, how the store fails and what the operator changes, all at set
-// times. Callers call throughout. Afterwards Check holds their records, the
-// targets' and the operator's against the promises made to callers.
+// An execution has one store, several entry instances, model engines and plain
+// services, each in its own process, and a loopback proxy for every link between
+// them. A plan, drawn from a seed, sets when processes are stopped, paused, killed
+// and restarted, when links are delayed, reset or blocked, how the store fails and
+// what the operator changes. Callers send calls all the time. Afterwards Check
+// verifies the guarantees given to callers against the records of the callers, the
+// targets and the operator.
 //
-// Check shares no code with what serves: it knows what callers and targets saw,
-// and what the operator wrote. The store, the targets and the heads of calls are
-// the platform's stand-ins.
+// Check shares no code with the serving packages. The store, the targets and the
+// headers of calls come from the platform's stand-ins.
 package soak
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -12,22 +12,19 @@
 	"github.com/ragworthitch/ragworthitch/process"
 )
 
-// stopMore is how long after the grace period a process that was told to end
-// may still run.
-const stopMore = time.Second
+// stopTolerance is how long a process may run after its grace period.
+const stopTolerance = time.Second
 
-// lostAcks is how many answers the store loses in a second of such a fault.
-const lostAcks = 10
+const lostAcksPerSecond = 10
 
-// carryOut carries a fault out, from its beginning to its end, and notes when
-// it was.
-func (p *play) carryOut(ctx context.Context, f Fault) error {
-	begun := time.Now()
-	err := p.apply(ctx, f)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// inject carries out a fault and records when it started and ended.
+func (x *execution) inject(ctx context.Context, f Fault) error {
+	startedAt := time.Now()
+	err := x.apply(ctx, f)
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	if f.Kind != KindChange {
-		p.troubles = append(p.troubles, Trouble{Fault: f, Begun: begun.UnixNano(), Over: time.Now().UnixNano()})
+		x.faults = append(x.faults, InjectedFault{Fault: f, StartedAt: startedAt.UnixNano(), EndedAt: time.Now().UnixNano()})
 	}
 	if err != nil {
 		return fmt.Errorf("soak: %s: %w", f, err)
@@ -35,52 +32,52 @@
 	return nil
 }
 
-func (p *play) apply(ctx context.Context, f Fault) error {
+func (x *execution) apply(ctx context.Context, f Fault) error {
 	switch f.Kind {
 	case KindChange:
-		return p.operator.change(ctx)
-	case KindDeadly:
-		p.callDeadly(ctx, f)
+		return x.operator.writeNextVersion(ctx)
+	case KindPoison:
+		x.sendPoison(ctx, f)
 		return nil
-	case KindStoreDown, KindStoreSlow, KindStoreLoses:
-		return p.disturbStore(ctx, f)
+	case KindStoreDown, KindStoreSlow, KindStoreLoseAcks:
+		return x.injectStoreFault(ctx, f)
 	}
-	if f.ofWay() {
-		p.links.disturb(f)
+	if f.isLinkFault() {
+		x.links.injectFault(f)
 		clock.Sleep(ctx, f.Long())
-		p.links.calm(f)
+		x.links.clearFault(f)
 		return nil
 	}
-	if f.From == partStore {
-		return p.pause(ctx, p.store, f)
+	if f.From == nodeStore {
+		return x.pauseProcess(ctx, x.store, f)
 	}
-	for _, e := range p.entries {
+	for _, e := range x.entries {
 		if e.name == f.From {
-			return p.disturbEntry(ctx, e, f)
+			return x.injectEntryFault(ctx, e, f)
 		}
 	}
-	for _, t := range p.targets {
+	for _, t := range x.targets {
 		if t.name == f.From {
-			return p.disturbTarget(ctx, t, f)
+			return x.injectTargetFault(ctx, t, f)
 		}
 	}
-	return fmt.Errorf("%w: no part %q", ErrBadPlan, f.From)
+	return fmt.Errorf("%w: no node %q", ErrBadPlan, f.From)
 }
 
-func (p *play) disturbStore(ctx context.Context, f Fault) error {
+func (x *execution) injectStoreFault(ctx context.Context, f Fault) error {
 	ms := f.Long().Milliseconds()
-	var order platform.Fault
+	var storeFault platform.Fault
 	switch f.Kind {
 	case KindStoreDown:
-		order.DownMs = ms
+		storeFault.DownMs = ms
 	case KindStoreSlow:
-		order.SlowMs, order.SlowForMs = int64(f.DelayMs), ms
-	case KindStoreLoses:
-		order.LostAcks = lostAcks * int(1+ms/1000)
+		storeFault.SlowMs, storeFault.SlowForMs = int64(f.DelayMs), ms
+	case KindStoreLoseAcks:
+		storeFault.LostAcks = lostAcksPerSecond * int(1+ms/1000)
 	}
-	err := platform.NewClient(p.storeAt, ackTime).SetFault(ctx, order)
+	err := platform.NewClient(x.storeAddr, writeTimeout).SetFault(ctx, storeFault)
 	if errors.Is(err, platform.ErrUnavailable) {
-		return nil // the store is paused: one disturbance at a time is enough for it
+		return nil // the store is paused already
 	}
 	if err != nil {
 		return err
@@ -89,8 +86,9 @@
 	return nil
 }
 
-// pause stops a process for a while. It may have been killed meanwhile.
-func (p *play) pause(ctx context.Context, proc *process.Process, f Fault) error {
+// pauseProcess pauses a process for the fault's duration. The process may be killed
+// meanwhile.
+func (x *execution) pauseProcess(ctx context.Context, proc *process.Process, f Fault) error {
 	if err := proc.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -98,89 +96,91 @@
 	return proc.Signal(syscall.SIGCONT)
 }
 
-func (p *play) disturbEntry(ctx context.Context, e *entry, f Fault) error {
+func (x *execution) injectEntryFault(ctx context.Context, e *entry, f Fault) error {
 	switch f.Kind {
 	case KindPause:
-		return p.pause(ctx, e.running(), f)
+		return x.pauseProcess(ctx, e.process(), f)
 	case KindReload:
-		return e.running().Signal(syscall.SIGHUP)
+		return e.process().Signal(syscall.SIGHUP)
 	}
-	e.turn.Lock()
-	defer e.turn.Unlock()
+	e.faultMu.Lock()
+	defer e.faultMu.Unlock()
 	if ctx.Err() != nil {
 		return nil
 	}
-	proc := e.running()
+	proc := e.process()
 	if f.Kind == KindStop {
-		if err := p.stop(proc, graceTime); err != nil {
+		if err := x.stopProcess(proc, gracePeriod); err != nil {
 			return err
 		}
 	} else if err := proc.Kill(); err != nil {
 		return err
 	}
-	p.links.closeTo(e.name)
+	x.links.closeTo(e.name)
 	clock.Sleep(ctx, f.Long())
-	return e.start(p)
+	return e.start(x)
 }
 
-// stop tells a process to end. The pauses of the plan are not held against it.
-func (p *play) stop(proc *process.Process, grace time.Duration) error {
+// stopProcess stops a process gracefully and records a violation if it does not exit in
+// time. Time that the plan pauses the process is added.
+func (x *execution) stopProcess(proc *process.Process, grace time.Duration) error {
 	if err := proc.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	err := proc.Await(grace + stopMore + p.paused(proc.Name(), time.Since(p.begun), grace+stopMore))
+	err := proc.Await(grace + stopTolerance + x.plannedPauses(proc.Name(), time.Since(x.startedAt), grace+stopTolerance))
 	if err == nil {
 		return nil
 	}
-	p.died(proc, fmt.Errorf("told to end: %w", err))
+	x.recordExit(proc, fmt.Errorf("stop: %w", err))
 	return errors.Join(proc.Signal(syscall.SIGCONT), proc.Kill())
 }
 
-// paused is how long the plan pauses a part within some time, at most.
-func (p *play) paused(part string, from, long time.Duration) time.Duration {
-	var sum time.Duration
-	for _, f := range p.plan.Faults {
-		if f.Kind == KindPause && f.From == part && f.At() < from+long && f.At()+f.Long() > from {
-			sum += f.Long()
+// plannedPauses returns an upper bound of the time for which the plan pauses a node in a
+// window.
+func (x *execution) plannedPauses(node string, from, window time.Duration) time.Duration {
+	var total time.Duration
+	for _, f := range x.plan.Faults {
+		if f.Kind == KindPause && f.From == node && f.At() < from+window && f.At()+f.Long() > from {
+			total += f.Long()
 		}
 	}
-	return sum
+	return total
 }
 
-func (p *play) disturbTarget(ctx context.Context, t *target, f Fault) error {
+func (x *execution) injectTargetFault(ctx context.Context, t *target, f Fault) error {
 	switch f.Kind {
 	case KindPause:
-		return p.pause(ctx, t.running(), f)
-	case KindLoses:
-		return p.loseAnswers(ctx, t, f)
+		return x.pauseProcess(ctx, t.process(), f)
+	case KindLoseAnswers:
+		return x.loseAnswers(ctx, t, f)
 	}
-	t.turn.Lock()
-	defer t.turn.Unlock()
+	t.faultMu.Lock()
+	defer t.faultMu.Unlock()
 	if ctx.Err() != nil {
 		return nil
 	}
-	now := t.current()
+	config := t.currentConfig()
 	if f.Kind == KindStop {
-		return p.drainTarget(ctx, t, f)
+		return x.drainTarget(ctx, t, f)
 	}
-	if err := t.running().Kill(); err != nil {
+	if err := t.process().Kill(); err != nil {
 		return err
 	}
-	p.links.closeTo(t.name)
+	x.links.closeTo(t.name)
 	switch f.Kind {
-	case KindReplace:
-		return p.replaceTarget(ctx, t, now, f)
-	case KindReborn, KindClock:
-		now.Listen, now.StepMs = "", f.StepMs
+	case KindReuseAddress:
+		return x.replaceTarget(ctx, t, config, f)
+	case KindNewAddress, KindClockStep:
+		config.Listen, config.StepMs = "", f.StepMs
 	}
 	clock.Sleep(ctx, f.Long())
-	return t.start(p, now)
+	return t.start(x, config)
 }
 
-// loseAnswers has a target lose the answers of calls that it runs. One that is
-// not there or paused loses them anyway.
-func (p *play) loseAnswers(ctx context.Context, t *target, f Fault) error {
-	resp, err := p.operator.http.Post(fmt.Sprintf("http://%s%s?ms=%d", t.current().Listen, pathLoses, f.ForMs), "", nil)
+// loseAnswers makes a target reset the connections of calls after it ran them. The request
+// is not retried: a target that is stopped or paused sends no answers either.
+func (x *execution) loseAnswers(ctx context.Context, t *target, f Fault) error {
+	resp, err := x.operator.http.Post(fmt.Sprintf("http://%s%s?ms=%d", t.currentConfig().Listen, pathLoseAnswers, f.ForMs), "", nil)
 	if err == nil {
 		resp.Body.Close()
 	}
@@ -188,38 +188,38 @@
 	return nil
 }
 
-// drainTarget has a target leave in order, and another one come. What a target
-// does when it leaves is the play's own: a store that is away delays it.
-func (p *play) drainTarget(ctx context.Context, t *target, f Fault) error {
-	proc := t.running()
+// drainTarget stops a target gracefully and starts its successor. A target that does not
+// stop is no violation: an unreachable store delays its draining.
+func (x *execution) drainTarget(ctx context.Context, t *target, f Fault) error {
+	proc := t.process()
 	if err := proc.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	if proc.Await(2*maxFault) != nil {
+	if proc.Await(2*maxFaultDuration) != nil {
 		if err := proc.Kill(); err != nil {
 			return err
 		}
 	}
-	p.links.closeTo(t.name)
+	x.links.closeTo(t.name)
 	clock.Sleep(ctx, f.Long())
-	return t.start(p, t.next(t.service))
+	return t.start(x, t.nextConfig(t.service))
 }
 
-// replaceTarget has the address of a killed target answer for one of the other
-// service, and then fills the place again.
-func (p *play) replaceTarget(ctx context.Context, t *target, before TargetConfig, f Fault) error {
-	other := t.next(serviceApp)
+// replaceTarget starts a target of the other service at the address of a killed target,
+// and afterwards restores the node with a target of its own service.
+func (x *execution) replaceTarget(ctx context.Context, t *target, config TargetConfig, f Fault) error {
+	replacement := t.nextConfig(serviceApp)
 	if t.service == serviceApp {
-		other = t.next(serviceLLM)
+		replacement = t.nextConfig(serviceLLM)
 	}
-	other.Listen = before.Listen
-	if err := t.start(p, other); err != nil {
+	replacement.Listen = config.Listen
+	if err := t.start(x, replacement); err != nil {
 		return err
 	}
 	clock.Sleep(ctx, f.Long())
-	if err := t.running().Kill(); err != nil {
+	if err := t.process().Kill(); err != nil {
 		return err
 	}
-	p.links.closeTo(t.name)
-	return t.start(p, t.next(t.service))
+	x.links.closeTo(t.name)
+	return t.start(x, t.nextConfig(t.service))
 }
--- a/soak/links.go
+++ b/soak/links.go
@@ -8,76 +8,76 @@
 	"github.com/ragworthitch/ragworthitch/loopback"
 )
 
-// links are all the links of a play, by their ends, and how they are disturbed.
+// links holds the links between nodes and their faults.
 type links struct {
 	mu     sync.Mutex
-	by     map[[2]string]*loopback.Link
+	byEnds map[[2]string]*loopback.Link
 	faults map[[2]string]Fault
 }
 
-// add opens a link between two parts, in place of the one before. A
-// disturbance is the way's and goes on.
-func (ls *links) add(from, to, listen, dial string) error {
+// open opens a link between two nodes and replaces the previous one. A fault of the link
+// stays in force.
+func (ls *links) open(from, to, listen, dial string) error {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	if ls.by == nil {
-		ls.by, ls.faults = map[[2]string]*loopback.Link{}, map[[2]string]Fault{}
+	if ls.byEnds == nil {
+		ls.byEnds, ls.faults = map[[2]string]*loopback.Link{}, map[[2]string]Fault{}
 	}
 	ends := [2]string{from, to}
-	// No process is started between the end of the old link and the begin of the
-	// new one: until it has replaced its program it would hold the old one's port.
+	// A child forked between Close and NewLink would inherit the listener and keep its
+	// port taken until exec.
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	if old := ls.by[ends]; old != nil {
+	if old := ls.byEnds[ends]; old != nil {
 		old.Close()
 	}
 	l, err := loopback.NewLink(listen, dial)
 	if err != nil {
 		return fmt.Errorf("soak: link from %s to %s: %w", from, to, err)
 	}
-	ls.by[ends] = l
+	ls.byEnds[ends] = l
 	if f, ok := ls.faults[ends]; ok {
 		l.Disturb(f.Kind, f.delay())
 	}
 	return nil
 }
 
-// disturb begins a fault of a way, and calm ends it.
-func (ls *links) disturb(f Fault) {
+// injectFault starts a fault of a link, and clearFault ends it.
+func (ls *links) injectFault(f Fault) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	ends := [2]string{f.From, f.To}
-	if l := ls.by[ends]; l != nil {
+	if l := ls.byEnds[ends]; l != nil {
 		ls.faults[ends] = f
 		l.Disturb(f.Kind, f.delay())
 	}
 }
 
-func (ls *links) calm(f Fault) {
+func (ls *links) clearFault(f Fault) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	ends := [2]string{f.From, f.To}
 	delete(ls.faults, ends)
-	if l := ls.by[ends]; l != nil {
+	if l := ls.byEnds[ends]; l != nil {
 		l.Calm()
 	}
 }
 
-// closeTo has connections to a part refused, as it does not listen.
-func (ls *links) closeTo(part string) {
+// closeTo makes connections to a node fail, as if nothing listened there.
+func (ls *links) closeTo(node string) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	for ends, l := range ls.by {
-		if ends[1] == part {
+	for ends, l := range ls.byEnds {
+		if ends[1] == node {
 			l.Close()
 		}
 	}
 }
 
-func (ls *links) cut() {
+func (ls *links) abort() {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	for _, l := range ls.by {
+	for _, l := range ls.byEnds {
 		l.Cut()
 	}
 }
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -11,65 +11,65 @@
 )
 
 const (
-	// ackTime bounds a try to write a version; the next one follows until the
-	// store has it.
-	ackTime  = 2 * time.Second
-	ackAgain = 100 * time.Millisecond
+	// writeTimeout bounds one attempt to write a version; attempts are repeated until the
+	// store acknowledges it.
+	writeTimeout       = 2 * time.Second
+	writeRetryInterval = 100 * time.Millisecond
 )
 
-// operator writes desired states.
+// operator writes versions of the desired state.
 type operator struct {
-	store string
-	http  http.Client
+	storeAddr string
+	http      http.Client
 
 	mu      sync.Mutex
 	changes []Change
-	writing sync.Mutex // one version after the other
+	writeMu sync.Mutex // serialises versions
 }
 
-// change writes the next version, and tries until the store has it or ctx
-// ends.
-func (o *operator) change(ctx context.Context) error {
-	o.writing.Lock()
-	defer o.writing.Unlock()
-	v := o.newest() + 1
+// writeNextVersion writes the next version and retries until the store acknowledges it or
+// ctx ends.
+func (o *operator) writeNextVersion(ctx context.Context) error {
+	o.writeMu.Lock()
+	defer o.writeMu.Unlock()
+	v := o.latestVersion() + 1
 	value, err := desiredState(v)
 	if err != nil {
 		return err
 	}
-	c := Change{Version: v, Added: routePath(v), NewKey: keyOf(v), Sent: time.Now().UnixNano()}
-	if v > routesKept {
-		c.Removed = routePath(v - routesKept)
+	c := Change{Version: v, AddedRoute: routePath(v), AddedKey: keyOf(v), SentAt: time.Now().UnixNano()}
+	if v > activeRoutes {
+		c.RemovedRoute = routePath(v - activeRoutes)
 	}
-	if v > keysKept {
-		c.Revoked = keyOf(v - keysKept)
+	if v > activeKeys {
+		c.RevokedKey = keyOf(v - activeKeys)
 	}
 	o.mu.Lock()
 	o.changes = append(o.changes, c)
 	o.mu.Unlock()
 	row := platform.OthersRow{Table: platform.TableOperator, Key: platform.KeyDesired, Value: value}
 	for {
-		if row.Send(&o.http, o.store) == nil {
+		if row.Send(&o.http, o.storeAddr) == nil {
 			break
 		}
-		if !clock.Sleep(ctx, ackAgain) {
-			return nil // the play is over
+		if !clock.Sleep(ctx, writeRetryInterval) {
+			return nil // the execution is over
 		}
 	}
 	o.mu.Lock()
-	o.changes[v-1].Acked = time.Now().UnixNano()
+	o.changes[v-1].AckedAt = time.Now().UnixNano()
 	o.mu.Unlock()
 	return nil
 }
 
-// newest is the newest version that was sent; 0: none.
-func (o *operator) newest() int {
+// latestVersion returns the newest version that was sent; 0: none.
+func (o *operator) latestVersion() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.changes)
 }
 
-func (o *operator) all() []Change {
+func (o *operator) allChanges() []Change {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]Change(nil), o.changes...)
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -14,62 +14,59 @@
 	"github.com/ragworthitch/ragworthitch/loopback"
 )
 
-// Kinds of fault. To is set for those of a way between two parts.
+// Kinds of fault. The faults of a link between two nodes have To set.
 const (
-	KindDelay   = loopback.Delay   // each piece of data is held for DelayMs
-	KindReset   = loopback.Reset   // all connections are reset, new ones too
-	KindCutTo   = loopback.BlockRequests   // what From sends does not arrive until the end
-	KindCutBack = loopback.BlockResponses // what To answers does not arrive until the end
-	KindSilence = loopback.BlockBoth // both
-
-	KindPause   = "pause"   // SIGSTOP, and SIGCONT at the end
-	KindKill    = "kill"    // SIGKILL, and a new start at the end
-	KindReborn  = "reborn"  // a target is killed and starts under its id at another address
-	KindReplace = "replace" // a target is killed, and another one gets its address
-	KindClock   = "clock"   // as reborn, with the time of day stepped by StepMs
-	KindStop    = "stop"    // SIGTERM, and a new start when it has ended
-	KindReload  = "reload"  // SIGHUP
-	KindLoses   = "loses"   // a target runs calls and resets their connections
-
-	KindStoreDown  = "storeDown"  // the store refuses all calls
-	KindStoreSlow  = "storeSlow"  // its answers take DelayMs
-	KindStoreLoses = "storeLoses" // writes take effect and their answers are lost
-
-	// KindDeadly: a request comes again and again that crashes the targets which run
-	// it, all engines (From) or all plain services.
-	KindDeadly = "deadly"
-
-	KindChange = "change" // the operator adds a route and a key and removes the oldest
+	KindDelay          = loopback.Delay          // each read is forwarded after DelayMs
+	KindReset          = loopback.Reset          // open and new connections are reset
+	KindBlockRequests  = loopback.BlockRequests  // bytes from From to To are held until the fault ends
+	KindBlockResponses = loopback.BlockResponses // bytes from To to From are held until the fault ends
+	KindBlockBoth      = loopback.BlockBoth      // bytes in both directions are held
+
+	KindPause        = "pause"   // SIGSTOP, and SIGCONT at the end
+	KindKill         = "kill"    // SIGKILL, and a restart at the end
+	KindNewAddress   = "reborn"  // a target is killed and restarts with its id at another address
+	KindReuseAddress = "replace" // a target is killed, and a target of the other service gets its address
+	KindClockStep    = "clock"   // as KindNewAddress, with the wall clock stepped by StepMs
+	KindStop         = "stop"    // SIGTERM, and a restart after the exit
+	KindReload       = "reload"  // SIGHUP
+	KindLoseAnswers  = "loses"   // a target runs calls and resets their connections
+
+	KindStoreDown     = "storeDown"  // the store rejects all calls
+	KindStoreSlow     = "storeSlow"  // the store answers after DelayMs
+	KindStoreLoseAcks = "storeLoses" // the store applies writes and loses the acknowledgements
+
+	// KindPoison sends a poison request repeatedly; it runs at engines or at plain
+	// services, as From says.
+	KindPoison = "deadly"
+
+	KindChange = "change" // the operator adds a route and a key and removes the oldest ones
 )
 
 const (
-	// calmStart is left for the parts to start and find each other.
-	calmStart = 4 * time.Second
-	// calmEnd is left at the end, for what was disturbed to recover and be
-	// seen to work.
-	calmEnd = 12 * time.Second
-	// meanGap is the mean time between two faults' beginnings, for each 10
+	// startMargin is the time before the first fault, for the processes to connect.
+	startMargin = 4 * time.Second
+	// recoveryMargin is the time without faults at the end, for recovery and its check.
+	recoveryMargin = 12 * time.Second
+	// meanFaultInterval is the mean time between the starts of two faults, for each 10
 	// processes.
-	meanGap = time.Second
-	// maxFault is the longest fault, and maxAway the longest one of a way to the
-	// store: longer than keys may be judged without it.
-	maxFault = 7 * time.Second
-	maxAway  = 14 * time.Second
-	// changeEvery is the mean time between two changes by the operator. They go
-	// on when the faults are over, up to changeEnd before the end.
-	changeEvery = 4 * time.Second
-	changeEnd   = 3 * time.Second
-	// groupEvery: one of so many faults of a target is one of a group.
-	groupEvery = 4
-	// maxStep is how far a clock is stepped at most.
-	maxStep = 10 * time.Minute
+	meanFaultInterval = time.Second
+	// maxStoreLinkFaultDuration is longer than instances accept keys without the store.
+	maxFaultDuration          = 7 * time.Second
+	maxStoreLinkFaultDuration = 14 * time.Second
+	// Changes by the operator continue after the last fault, until changeMargin before the
+	// end.
+	meanChangeInterval = 4 * time.Second
+	changeMargin       = 3 * time.Second
+	// On average, one in groupOdds faults is extended to a group of targets.
+	groupOdds    = 4
+	maxClockStep = 10 * time.Minute
 )
 
-// ErrBadPlan is wrapped by errors about a plan.
+// ErrBadPlan is wrapped by all errors of plans.
 var ErrBadPlan = errors.New("soak: bad plan")
 
 type (
-	// Plan is what a play does, and when.
+	// Plan lists the faults and changes of an execution.
 	Plan struct {
 		Seed    uint64  `yaml:"seed"`
 		Size    string  `yaml:"size"`
@@ -77,8 +74,8 @@
 		Faults  []Fault `yaml:"faults"`
 	}
 
-	// Fault is one fault or change. From is a process, or where a way
-	// begins; To is where it ends.
+	// Fault is a fault or a change. From is a node, or the connecting end of a link to the
+	// node To.
 	Fault struct {
 		Kind    string `yaml:"kind"`
 		AtMs    int    `yaml:"atMs"`
@@ -89,111 +86,110 @@
 		StepMs  int    `yaml:"stepMs,omitempty"`
 	}
 
-	// Size is how many parts a play has.
+	// Size holds the number of nodes of each kind and of callers.
 	Size struct {
 		Entries, Engines, Services, Callers int
 	}
 
-	// place is where one target after the other runs.
-	place struct{ name, zone, service string }
+	// targetSpec describes the node of a target.
+	targetSpec struct{ name, zone, service string }
 
-	// choice is a kind of fault that a plan may draw, and how often.
-	choice struct {
+	// kindChoice is a kind of fault with the weight with which plans draw it.
+	kindChoice struct {
 		kind   string
 		weight int
-		draw   func(*drawer, *Fault)
+		draw   func(*planDrawer, *Fault)
 	}
 
-	// drawer draws a plan's faults.
-	drawer struct {
+	// planDrawer draws the faults of a plan.
+	planDrawer struct {
 		rng  *rand.Rand
 		size Size
 	}
 )
 
-// sizes are those of -size. The largest runs 125 processes of some 15 MB.
+// sizes are the values of -size.
 var sizes = map[string]Size{
 	"small": {Entries: 2, Engines: 3, Services: 2, Callers: 16},
 	"usual": {Entries: 4, Engines: 12, Services: 4, Callers: 50},
 	"limit": {Entries: 12, Engines: 100, Services: 12, Callers: 160},
 }
 
-var choices = []choice{
-	{KindDelay, 3, (*drawer).way}, {KindReset, 4, (*drawer).way}, {KindCutTo, 3, (*drawer).way},
-	{KindCutBack, 3, (*drawer).way}, {KindSilence, 3, (*drawer).way},
-	{KindPause, 4, (*drawer).anyPart}, {KindKill, 3, (*drawer).servingPart}, {KindReborn, 2, (*drawer).target},
-	{KindReplace, 2, (*drawer).target}, {KindClock, 2, (*drawer).target}, {KindStop, 4, (*drawer).servingPart},
-	{KindReload, 1, (*drawer).entry}, {KindLoses, 3, (*drawer).target},
-	{KindStoreDown, 1, (*drawer).store}, {KindStoreSlow, 1, (*drawer).store}, {KindStoreLoses, 1, (*drawer).store},
+var kindChoices = []kindChoice{
+	{KindDelay, 3, (*planDrawer).drawLink}, {KindReset, 4, (*planDrawer).drawLink}, {KindBlockRequests, 3, (*planDrawer).drawLink},
+	{KindBlockResponses, 3, (*planDrawer).drawLink}, {KindBlockBoth, 3, (*planDrawer).drawLink},
+	{KindPause, 4, (*planDrawer).drawNode}, {KindKill, 3, (*planDrawer).drawServingNode}, {KindNewAddress, 2, (*planDrawer).drawTarget},
+	{KindReuseAddress, 2, (*planDrawer).drawTarget}, {KindClockStep, 2, (*planDrawer).drawTarget}, {KindStop, 4, (*planDrawer).drawServingNode},
+	{KindReload, 1, (*planDrawer).drawEntry}, {KindLoseAnswers, 3, (*planDrawer).drawTarget},
+	{KindStoreDown, 1, (*planDrawer).drawStore}, {KindStoreSlow, 1, (*planDrawer).drawStore}, {KindStoreLoseAcks, 1, (*planDrawer).drawStore},
 }
 
-// NewPlan draws the plan of a seed. The same seed, size and time give the same
-// plan.
-func NewPlan(seed uint64, size string, d time.Duration) (Plan, error) {
+// NewPlan draws a plan. The same seed, size and length give the same plan.
+func NewPlan(seed uint64, size string, length time.Duration) (Plan, error) {
 	s, ok := sizes[size]
 	if !ok {
 		return Plan{}, fmt.Errorf("%w: size %q", ErrBadPlan, size)
 	}
-	if d < calmStart+calmEnd+time.Second {
-		return Plan{}, fmt.Errorf("%w: a play takes %v at least", ErrBadPlan, calmStart+calmEnd+time.Second)
+	if length < startMargin+recoveryMargin+time.Second {
+		return Plan{}, fmt.Errorf("%w: the minimum duration is %v", ErrBadPlan, startMargin+recoveryMargin+time.Second)
 	}
-	p := Plan{Seed: seed, Size: size, Seconds: int(d / time.Second)}
-	w := &drawer{rng: rand.New(rand.NewPCG(seed, 1)), size: s}
-	end := d - calmEnd
-	gap := meanGap * 10 / time.Duration(max(10, s.Entries+s.Engines+s.Services))
-	for at := calmStart; at < end; at += w.around(gap) {
-		f := w.fault(at, end)
+	p := Plan{Seed: seed, Size: size, Seconds: int(length / time.Second)}
+	d := &planDrawer{rng: rand.New(rand.NewPCG(seed, 1)), size: s}
+	end := length - recoveryMargin
+	interval := meanFaultInterval * 10 / time.Duration(max(10, s.Entries+s.Engines+s.Services))
+	for at := startMargin; at < end; at += d.drawDuration(interval) {
+		f := d.drawFault(at, end)
 		p.Faults = append(p.Faults, f)
-		if w.rng.IntN(groupEvery) == 0 {
-			p.Faults = append(p.Faults, w.group(f)...)
+		if d.rng.IntN(groupOdds) == 0 {
+			p.Faults = append(p.Faults, d.drawGroup(f)...)
 		}
 	}
-	for at := calmStart; at < d-changeEnd; at += w.around(changeEvery) {
+	for at := startMargin; at < length-changeMargin; at += d.drawDuration(meanChangeInterval) {
 		p.Faults = append(p.Faults, Fault{Kind: KindChange, AtMs: int(at.Milliseconds())})
 	}
-	p.Faults = append(p.Faults, w.deadly(end)...)
+	p.Faults = append(p.Faults, d.drawPoison(end)...)
 	p.sort()
 	return p, nil
 }
 
-// around is a time between 0 and twice the mean.
-func (w *drawer) around(mean time.Duration) time.Duration {
-	return time.Duration(w.rng.Int64N(int64(2*mean))) + time.Millisecond
+// drawDuration draws a duration between 0 and twice the mean.
+func (d *planDrawer) drawDuration(mean time.Duration) time.Duration {
+	return time.Duration(d.rng.Int64N(int64(2*mean))) + time.Millisecond
 }
 
-// fault draws one fault that is over by end.
-func (w *drawer) fault(at, end time.Duration) Fault {
+// drawFault draws a fault that ends by the time end.
+func (d *planDrawer) drawFault(start, end time.Duration) Fault {
 	total := 0
-	for _, c := range choices {
+	for _, c := range kindChoices {
 		total += c.weight
 	}
-	n := w.rng.IntN(total)
+	n := d.rng.IntN(total)
 	i := 0
-	for ; n >= choices[i].weight; i++ {
-		n -= choices[i].weight
+	for ; n >= kindChoices[i].weight; i++ {
+		n -= kindChoices[i].weight
 	}
-	f := Fault{Kind: choices[i].kind, AtMs: int(at.Milliseconds())}
-	choices[i].draw(w, &f)
-	long := w.around(maxFault / 2)
-	if f.To == partStore {
-		long = w.around(maxAway / 2)
+	f := Fault{Kind: kindChoices[i].kind, AtMs: int(start.Milliseconds())}
+	kindChoices[i].draw(d, &f)
+	duration := d.drawDuration(maxFaultDuration / 2)
+	if f.To == nodeStore {
+		duration = d.drawDuration(maxStoreLinkFaultDuration / 2)
 	}
-	f.ForMs = max(1, int(min(long, end-at).Milliseconds()))
+	f.ForMs = max(1, int(min(duration, end-start).Milliseconds()))
 	return f
 }
 
-// group is the same fault of all engines, all services or all targets of the
-// zone, where the fault is one of a target: they fail together.
-func (w *drawer) group(f Fault) []Fault {
-	at := slices.IndexFunc(w.size.targets(), func(t place) bool { return t.name == f.From })
-	if f.ofWay() || at < 0 {
+// drawGroup repeats a target's fault for all other targets of its service or zone, so that
+// they fail together.
+func (d *planDrawer) drawGroup(f Fault) []Fault {
+	index := slices.IndexFunc(d.size.targets(), func(t targetSpec) bool { return t.name == f.From })
+	if f.isLinkFault() || index < 0 {
 		return nil
 	}
-	first := w.size.targets()[at]
-	zone := w.rng.IntN(2) == 0
+	first := d.size.targets()[index]
+	byZone := d.rng.IntN(2) == 0
 	var out []Fault
-	for _, t := range w.size.targets() {
-		if t == first || zone && t.zone != first.zone || !zone && t.service != first.service {
+	for _, t := range d.size.targets() {
+		if t == first || byZone && t.zone != first.zone || !byZone && t.service != first.service {
 			continue
 		}
 		f.From = t.name
@@ -203,100 +199,100 @@
 	return out
 }
 
-// targets are the places of all targets, engines first.
-func (s Size) targets() []place {
-	var out []place
+// targets returns the nodes of all targets, engines first.
+func (s Size) targets() []targetSpec {
+	var out []targetSpec
 	for n := range s.Engines + s.Services {
-		p := place{name: fmt.Sprint(partEngine, n), zone: zoneOf(n), service: serviceLLM}
+		p := targetSpec{name: fmt.Sprint(nodeEngine, n), zone: zoneOf(n), service: serviceLLM}
 		if i := n - s.Engines; i >= 0 {
-			p.name, p.service = fmt.Sprint(partService, i), serviceApp
+			p.name, p.service = fmt.Sprint(nodeService, i), serviceApp
 		}
 		out = append(out, p)
 	}
 	return out
 }
 
-// way draws a way between two parts.
-func (w *drawer) way(f *Fault) {
-	switch w.rng.IntN(6) {
+// drawLink draws a link between two nodes.
+func (d *planDrawer) drawLink(f *Fault) {
+	switch d.rng.IntN(6) {
 	case 0:
-		f.From, f.To = partCallers, w.name(partEntry, w.size.Entries)
+		f.From, f.To = nodeCallers, d.nodeName(nodeEntry, d.size.Entries)
 	case 1:
-		f.From, f.To = w.name(partEntry, w.size.Entries), partStore
+		f.From, f.To = d.nodeName(nodeEntry, d.size.Entries), nodeStore
 	case 2:
-		n := w.rng.IntN(w.size.Entries)
-		other := (n + 1 + w.rng.IntN(w.size.Entries-1)) % w.size.Entries
-		f.From, f.To = fmt.Sprint(partEntry, n), fmt.Sprint(partEntry, other)
+		n := d.rng.IntN(d.size.Entries)
+		other := (n + 1 + d.rng.IntN(d.size.Entries-1)) % d.size.Entries
+		f.From, f.To = fmt.Sprint(nodeEntry, n), fmt.Sprint(nodeEntry, other)
 	case 3:
-		f.From, f.To = w.aTarget(), partStore
+		f.From, f.To = d.targetName(), nodeStore
 	default:
-		f.From, f.To = w.name(partEntry, w.size.Entries), w.aTarget()
+		f.From, f.To = d.nodeName(nodeEntry, d.size.Entries), d.targetName()
 	}
 	if f.Kind == KindDelay {
-		f.DelayMs = 20 + w.rng.IntN(1000)
+		f.DelayMs = 20 + d.rng.IntN(1000)
 	}
 }
 
-func (w *drawer) anyPart(f *Fault) {
-	f.From = partStore
-	if w.rng.IntN(8) > 0 {
-		w.servingPart(f)
+func (d *planDrawer) drawNode(f *Fault) {
+	f.From = nodeStore
+	if d.rng.IntN(8) > 0 {
+		d.drawServingNode(f)
 	}
 }
 
-func (w *drawer) servingPart(f *Fault) {
-	if w.rng.IntN(2) == 0 {
-		w.entry(f)
+func (d *planDrawer) drawServingNode(f *Fault) {
+	if d.rng.IntN(2) == 0 {
+		d.drawEntry(f)
 		return
 	}
-	f.From = w.aTarget()
+	f.From = d.targetName()
 }
 
-func (w *drawer) entry(f *Fault) { f.From = w.name(partEntry, w.size.Entries) }
+func (d *planDrawer) drawEntry(f *Fault) { f.From = d.nodeName(nodeEntry, d.size.Entries) }
 
-func (w *drawer) target(f *Fault) {
-	f.From = w.aTarget()
-	if f.Kind == KindClock {
-		f.StepMs = int(maxStep.Milliseconds()) - w.rng.IntN(2*int(maxStep.Milliseconds()))
+func (d *planDrawer) drawTarget(f *Fault) {
+	f.From = d.targetName()
+	if f.Kind == KindClockStep {
+		f.StepMs = int(maxClockStep.Milliseconds()) - d.rng.IntN(2*int(maxClockStep.Milliseconds()))
 	}
 }
 
-func (w *drawer) store(f *Fault) {
-	f.From = partStore
+func (d *planDrawer) drawStore(f *Fault) {
+	f.From = nodeStore
 	if f.Kind == KindStoreSlow {
-		f.DelayMs = 50 + w.rng.IntN(1000)
+		f.DelayMs = 50 + d.rng.IntN(1000)
 	}
 }
 
-func (w *drawer) aTarget() string {
-	ts := w.size.targets()
-	return ts[w.rng.IntN(len(ts))].name
+func (d *planDrawer) targetName() string {
+	ts := d.size.targets()
+	return ts[d.rng.IntN(len(ts))].name
 }
 
-func (w *drawer) name(part string, n int) string { return fmt.Sprint(part, w.rng.IntN(n)) }
+func (d *planDrawer) nodeName(prefix string, n int) string { return fmt.Sprint(prefix, d.rng.IntN(n)) }
 
 func (p *Plan) sort() {
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return a.AtMs - b.AtMs })
 }
 
-// At is when a fault begins, and Long how long it lasts.
+// At returns when the fault starts, relative to the start of the execution.
 func (f Fault) At() time.Duration { return time.Duration(f.AtMs) * time.Millisecond }
 
-// Long is how long the fault lasts.
+// Long returns how long the fault lasts.
 func (f Fault) Long() time.Duration { return time.Duration(f.ForMs) * time.Millisecond }
 
 func (f Fault) delay() time.Duration { return time.Duration(f.DelayMs) * time.Millisecond }
 
-// ofWay reports whether the fault is one of a way between two parts.
-func (f Fault) ofWay() bool { return f.To != "" }
+// isLinkFault reports whether the fault is a fault of a link.
+func (f Fault) isLinkFault() bool { return f.To != "" }
 
-// touches reports whether the fault disturbs a part itself, or the way between
-// two, if another one is given.
-func (f Fault) touches(part, other string) bool {
-	return !f.ofWay() && f.From == part || f.ofWay() && f.From == part && f.To == other || f.ofWay() && f.From == other && f.To == part
+// affects reports whether the fault is a fault of the node, or of the link between the two
+// nodes in either direction.
+func (f Fault) affects(node, other string) bool {
+	return !f.isLinkFault() && f.From == node || f.isLinkFault() && f.From == node && f.To == other || f.isLinkFault() && f.From == other && f.To == node
 }
 
-// String is a line on the fault.
+// String describes the fault in one line.
 func (f Fault) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%6.2f s %-10s", f.At().Seconds(), f.Kind)
@@ -332,7 +328,7 @@
 		return Plan{}, fmt.Errorf("%w: %s: size %q, %d seconds", ErrBadPlan, file, p.Size, p.Seconds)
 	}
 	for _, f := range p.Faults {
-		if f.Kind != KindChange && f.Kind != KindDeadly && !slices.ContainsFunc(choices, func(c choice) bool { return c.kind == f.Kind }) {
+		if f.Kind != KindChange && f.Kind != KindPoison && !slices.ContainsFunc(kindChoices, func(c kindChoice) bool { return c.kind == f.Kind }) {
 			return Plan{}, fmt.Errorf("%w: %s: unknown kind %q", ErrBadPlan, file, f.Kind)
 		}
 	}
@@ -349,10 +345,10 @@
 	return os.WriteFile(file, b, 0o644)
 }
 
-// size is the plan's number of parts.
-func (p Plan) size() Size { return sizes[p.Size] }
+// nodeCounts returns the plan's number of nodes and callers.
+func (p Plan) nodeCounts() Size { return sizes[p.Size] }
 
-// without is the plan without the faults from i to j.
+// without returns the plan without the faults from index i up to j.
 func (p Plan) without(i, j int) Plan {
 	p.Faults = slices.Delete(slices.Clone(p.Faults), i, j)
 	return p
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A seed is one plan, and a file keeps it.
-func TestPlanOfASeed(t *testing.T) {
+// A seed always gives the same plan, a plan survives its file, and no fault lasts into the
+// recovery margin.
+func TestPlanIsDeterministic(t *testing.T) {
 	for seed := range uint64(50) {
 		a, err := NewPlan(seed, "usual", time.Minute)
 		require.NoError(t, err)
@@ -25,7 +26,7 @@
 		require.Equal(t, a, c)
 		for _, f := range a.Faults {
 			if f.Kind != KindChange {
-				require.LessOrEqual(t, f.At()+f.Long(), time.Minute-calmEnd, "%s", f)
+				require.LessOrEqual(t, f.At()+f.Long(), time.Minute-recoveryMargin, "%s", f)
 			}
 		}
 	}
@@ -36,8 +37,8 @@
 	assert.NotEqual(t, a.Faults, b.Faults)
 }
 
-// Every kind of fault is drawn.
-func TestPlansHaveAllKinds(t *testing.T) {
+// Plans draw every kind of fault.
+func TestPlansDrawAllKinds(t *testing.T) {
 	drawn := map[string]bool{}
 	for seed := range uint64(20) {
 		p, err := NewPlan(seed, "small", time.Minute)
@@ -46,13 +47,13 @@
 			drawn[f.Kind] = true
 		}
 	}
-	for _, c := range choices {
+	for _, c := range kindChoices {
 		assert.True(t, drawn[c.kind], c.kind)
 	}
 	assert.True(t, drawn[KindChange])
 }
 
-func TestBadPlans(t *testing.T) {
+func TestInvalidPlans(t *testing.T) {
 	_, err := NewPlan(1, "huge", time.Minute)
 	assert.ErrorIs(t, err, ErrBadPlan)
 	_, err = NewPlan(1, "small", time.Second)
--- a/soak/run.go
+++ b/soak/run.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// shrinkPlays bounds the search for a smaller plan.
-	shrinkPlays = 12
-	shownLines  = 20 // of broken promises
+	// maxShrinkRuns bounds the search for a smaller plan.
+	maxShrinkRuns      = 12
+	maxShownViolations = 20
 )
 
 type (
-	// Runner plays plans and reports on them.
+	// Runner executes plans and reports on them.
 	Runner struct {
-		Program string // the product's
-		Dir     string // for logs and records; empty: a temporary one
+		Program string // path of the ragworthitch binary
+		Dir     string // for logs and records; empty: a temporary folder
 		Out     io.Writer
 	}
 
-	// Report is what a play has shown.
+	// Report is the result of an execution.
 	Report struct {
 		Plan       Plan
 		Dir        string
@@ -32,22 +32,22 @@
 		Violations []Violation
 	}
 
-	// Goodput is the file that a plot is drawn from.
+	// Goodput is the data of a plot, as WriteGoodput encodes it.
 	Goodput struct {
 		Name   string  `json:"name"`
-		Calls  []int   `json:"calls"`  // that began in each second
-		Served []int   `json:"served"` // of these
+		Calls  []int   `json:"calls"`  // sent in each second
+		Served []int   `json:"served"` // of Calls
 		Faults []Fault `json:"faults"`
 	}
 )
 
-// Run plays a plan and checks what was seen.
+// Run executes a plan and checks the history.
 func (r Runner) Run(ctx context.Context, plan Plan) (Report, error) {
-	dir, err := r.folder(plan)
+	dir, err := r.createDir(plan)
 	if err != nil {
 		return Report{}, err
 	}
-	h, err := Play(ctx, r.Program, dir, plan)
+	h, err := Execute(ctx, r.Program, dir, plan)
 	if err != nil {
 		return Report{}, fmt.Errorf("%w (seed %d, logs in %s)", err, plan.Seed, dir)
 	}
@@ -56,10 +56,10 @@
 	if len(report.Violations) == 0 && r.Dir == "" {
 		return report, os.RemoveAll(dir)
 	}
-	return report, report.keep()
+	return report, report.save()
 }
 
-func (r Runner) folder(plan Plan) (string, error) {
+func (r Runner) createDir(plan Plan) (string, error) {
 	if r.Dir == "" {
 		return os.MkdirTemp("", fmt.Sprintf("soak-%d-", plan.Seed))
 	}
@@ -69,22 +69,22 @@
 	return os.MkdirTemp(r.Dir, fmt.Sprintf("%d-", plan.Seed))
 }
 
-// Shrink looks for a smaller plan that breaks the same promise, by leaving out
-// halves, then quarters and so on of the faults. What real processes do differs
-// from play to play, so a part that once broke nothing may still matter.
+// Shrink searches for a smaller plan that violates the same rule. It leaves out halves of
+// the faults, then quarters and so on. Executions of the same plan differ, so faults
+// without effect in one execution may still matter.
 func (r Runner) Shrink(ctx context.Context, plan Plan, first Report) Plan {
 	rule := first.Violations[0].Rule
-	plays := 0
-	for part := (len(plan.Faults) + 1) / 2; part > 0; part /= 2 {
-		for i := 0; i < len(plan.Faults) && plays < shrinkPlays; {
-			smaller := plan.without(i, min(i+part, len(plan.Faults)))
-			plays++
+	runs := 0
+	for chunk := (len(plan.Faults) + 1) / 2; chunk > 0; chunk /= 2 {
+		for i := 0; i < len(plan.Faults) && runs < maxShrinkRuns; {
+			smaller := plan.without(i, min(i+chunk, len(plan.Faults)))
+			runs++
 			report, err := r.Run(ctx, smaller)
-			if err == nil && report.breaks(rule) {
+			if err == nil && report.violates(rule) {
 				plan = smaller
 				continue
 			}
-			i += part
+			i += chunk
 		}
 	}
 	fmt.Fprintf(r.Out, "shrunk to %d faults that break %s:\n", len(plan.Faults), rule)
@@ -92,7 +92,7 @@
 	return plan
 }
 
-func (r Report) breaks(rule string) bool {
+func (r Report) violates(rule string) bool {
 	for _, v := range r.Violations {
 		if v.Rule == rule {
 			return true
@@ -109,14 +109,14 @@
 	}
 }
 
-// print prints a line on the play, and what was broken.
+// print prints a summary and the violations.
 func (r Report) print(w io.Writer) {
-	served, all, streams := 0, 0, 0
+	served, total, streams := 0, 0, 0
 	for _, c := range r.History.Calls {
-		if !c.counts() {
+		if !c.mustBeServed() {
 			continue
 		}
-		all++
+		total++
 		if c.served() {
 			served++
 		}
@@ -125,22 +125,22 @@
 		}
 	}
 	fmt.Fprintf(w, "seed %d, size %s, %d s: %d faults, %d versions, %d of %d calls served (%d streams), %d promises broken\n", r.Plan.Seed, r.Plan.Size,
-		r.Plan.Seconds, len(r.History.Troubles), len(r.History.Changes), served, all, streams, len(r.Violations))
+		r.Plan.Seconds, len(r.History.Faults), len(r.History.Changes), served, total, streams, len(r.Violations))
 	if len(r.Violations) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "  logs and records:", r.Dir)
 	for i, v := range r.Violations {
-		if i == shownLines {
+		if i == maxShownViolations {
 			fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintf(w, "  %6.2f s %-8s %s\n", seconds(v.At-r.History.Begun), v.Rule, v.Text)
+		fmt.Fprintf(w, "  %6.2f s %-8s %s\n", seconds(v.At-r.History.StartedAt), v.Rule, v.Text)
 	}
 }
 
-// keep writes the history and the plan beside the logs.
-func (r Report) keep() error {
+// save writes the calls and the plan to the folder of the logs.
+func (r Report) save() error {
 	if err := r.Plan.Write(filepath.Join(r.Dir, "plan.yaml")); err != nil {
 		return err
 	}
@@ -158,18 +158,18 @@
 	return nil
 }
 
-// WriteGoodput writes what a plot of the play is drawn from.
+// WriteGoodput writes the data of a plot of calls and faults.
 func (r Report) WriteGoodput(file string) error {
 	g := Goodput{Name: fmt.Sprintf("seed %d, size %s", r.Plan.Seed, r.Plan.Size), Calls: make([]int, r.Plan.Seconds+1),
 		Served: make([]int, r.Plan.Seconds+1)}
 	for _, c := range r.History.Calls {
-		i := int((c.Sent - r.History.Begun) / int64(time.Second))
-		if !c.counts() || i >= len(g.Calls) {
+		second := int((c.SentAt - r.History.StartedAt) / int64(time.Second))
+		if !c.mustBeServed() || second >= len(g.Calls) {
 			continue
 		}
-		g.Calls[i]++
+		g.Calls[second]++
 		if c.served() {
-			g.Served[i]++
+			g.Served[second]++
 		}
 	}
 	for _, f := range r.Plan.Faults {
--- a/soak/target.go
+++ b/soak/target.go
@@ -19,51 +19,50 @@
 )
 
 const (
-	targetSlots = 16
-	plainTime   = 80 * time.Millisecond
-	firstTime   = 100 * time.Millisecond
-	eventGap    = 25 * time.Millisecond
-	copyEvery   = 100 * time.Millisecond
-	copyTime    = 300 * time.Millisecond // a call to the peer that keeps a copy
-	copyKept    = 4 * time.Second        // as the operator's state says
-	// drainTime is how long a target serves at least once its entry says that
-	// it leaves, and drainLonger how long it goes on after that, for calls that
-	// should not come.
-	drainTime   = 2 * time.Second
-	drainLonger = 4 * time.Second
-
-	pathCopy   = "/soak/copy"  // keeps a copy: call, events
-	pathLoses  = "/soak/loses" // loses answers for so many ms
-	pathHealth = "/health"
+	targetSlots     = 16
+	plainAnswerTime = 80 * time.Millisecond
+	firstEventTime  = 100 * time.Millisecond
+	eventInterval   = 25 * time.Millisecond
+	replicaInterval = 100 * time.Millisecond
+	replicaTimeout  = 300 * time.Millisecond // for the request to the replica target
+	replicaExpiry   = 4 * time.Second        // as in the desired state
+	// drainPeriod is how long a target serves at least after its row says that it is
+	// draining. It stays for drainExtra after that, to record calls that should not come.
+	drainPeriod = 2 * time.Second
+	drainExtra  = 4 * time.Second
+
+	pathReplica     = "/soak/copy"  // keeps a replica: call, events
+	pathLoseAnswers = "/soak/loses" // loses answers for ms
+	pathHealth      = "/health"
 )
 
 type (
-	// TargetConfig is what a target's process is started with.
+	// TargetConfig configures the process of a target.
 	TargetConfig struct {
 		ID      string `json:"id"`
-		Slot    string `json:"slot"` // its place in the plan; ids change
+		Node    string `json:"slot"` // name in the plan; ids change
 		Service string `json:"service"`
 		Zone    string `json:"zone"`
 		Listen  string `json:"listen"`
 		Store   string `json:"store"`
-		Records string `json:"records"` // file that its records are added to
-		StepMs  int    `json:"stepMs"`  // of its clock
+		Records string `json:"records"` // file that records are appended to
+		StepMs  int    `json:"stepMs"`  // clock step
 	}
 
-	// Target is a model engine or a plain service, run as its own process: the
-	// platform's stand-in, with an entry in the store, copies at other
-	// processes, and a record of every run.
+	// Target is a model engine or a plain service in its own process: the platform's
+	// stand-in, with a row in the store, replicas at other targets, and a record of every
+	// attempt.
 	Target struct {
-		cfg      TargetConfig
-		records  *os.File
-		http     http.Client
-		born     int64
-		sequence atomic.Int64
-		stand    platform.TargetStandIn
+		cfg        TargetConfig
+		records    *os.File
+		http       http.Client
+		bootTimeMs int64
+		sequence   atomic.Int64
+		standIn    platform.TargetStandIn
 	}
 )
 
-// RunTarget runs a target until ctx ends, and then for as long as it drains.
+// RunTarget runs a target until ctx ends, and then drains it.
 func RunTarget(ctx context.Context, cfg TargetConfig) error {
 	f, err := os.OpenFile(cfg.Records, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -71,32 +70,32 @@
 	}
 	defer f.Close()
 	t := &Target{cfg: cfg, records: f, http: http.Client{Timeout: platform.TargetHeartbeat},
-		born: time.Now().Add(time.Duration(cfg.StepMs) * time.Millisecond).UnixMilli()}
-	t.stand = platform.TargetStandIn{ID: cfg.ID, Events: streamEvents, Gap: eventGap, First: firstTime, Listen: cfg.Listen,
-		Peers: &platform.Peers{Keep: t.sendCopy}, Work: answers(cfg.ID), Note: t.noteRun, Besides: t.besides(),
-		Crashes: platform.Crashes{By: func(body []byte) bool { return string(body) == deadlyBody }, Done: t.crash}}
+		bootTimeMs: time.Now().Add(time.Duration(cfg.StepMs) * time.Millisecond).UnixMilli()}
+	t.standIn = platform.TargetStandIn{ID: cfg.ID, Events: streamEvents, Gap: eventInterval, First: firstEventTime, Listen: cfg.Listen,
+		Peers: &platform.Peers{Keep: t.sendReplica}, Work: answers(cfg.ID), Note: t.recordAttempt, Besides: t.extraHandler(),
+		Crashes: platform.Crashes{By: func(body []byte) bool { return string(body) == poisonBody }, Done: t.crash}}
 	if cfg.Service != serviceLLM {
-		t.stand.First = plainTime
+		t.standIn.First = plainAnswerTime
 	}
-	if _, err := t.stand.Start(); err != nil {
+	if _, err := t.standIn.Start(); err != nil {
 		return err
 	}
 	fmt.Println("target: started")
-	t.beat(ctx)
-	for t.writeEntry(true) != nil {
-		time.Sleep(copyEvery)
+	t.heartbeat(ctx)
+	for t.writeRow(true) != nil {
+		time.Sleep(replicaInterval)
 	}
-	t.note(Run{Kind: RunLeaving})
-	time.Sleep(drainTime + drainLonger)
+	t.writeRecord(Record{Kind: RecordDraining})
+	time.Sleep(drainPeriod + drainExtra)
 	return nil
 }
 
-// beat writes the target's entry until ctx ends. A beat that is lost is
-// followed by another.
-func (t *Target) beat(ctx context.Context) {
+// heartbeat writes the target's row at intervals until ctx ends. A failed write is only
+// logged, because the next one follows.
+func (t *Target) heartbeat(ctx context.Context) {
 	for {
-		if err := t.writeEntry(false); err != nil {
-			fmt.Println("target: entry not written:", err)
+		if err := t.writeRow(false); err != nil {
+			fmt.Println("target: row not written:", err)
 		}
 		if !clock.Sleep(ctx, platform.TargetHeartbeat) {
 			return
@@ -104,8 +103,8 @@
 	}
 }
 
-func (t *Target) writeEntry(draining bool) error {
-	b, err := platform.EncodeTarget(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: t.cfg.ID, Started: t.born, Service: t.cfg.Service,
+func (t *Target) writeRow(draining bool) error {
+	b, err := platform.EncodeTarget(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: t.cfg.ID, Started: t.bootTimeMs, Service: t.cfg.Service,
 		Address: t.cfg.Listen, Zone: t.cfg.Zone, Slots: targetSlots, Draining: draining, Sequence: t.sequence.Add(1)}))
 	if err != nil {
 		return err
@@ -113,48 +112,48 @@
 	return platform.OthersRow{Table: platform.TableTargets, Key: t.cfg.ID, Value: b}.Send(&t.http, t.cfg.Store)
 }
 
-// crash ends the process, as a deadly request does.
+// crash exits the process, for a poison request.
 func (t *Target) crash() {
-	t.note(Run{Kind: RunCrashed})
-	os.Exit(crashStatus)
+	t.writeRecord(Record{Kind: RecordCrashed})
+	os.Exit(crashExitCode)
 }
 
-func (t *Target) noteRun(n platform.RunNote) {
-	r := Run{Kind: RunBegun, Call: n.Call, Path: n.Path, Org: n.Org, KeyPassed: n.KeyPassed, After: n.After}
-	if n.Ended {
-		r.Kind = RunEnded
+func (t *Target) recordAttempt(note platform.RunNote) {
+	record := Record{Kind: RecordStarted, Call: note.Call, Path: note.Path, Org: note.Org, KeyPassed: note.KeyPassed, ResumeOffset: note.After}
+	if note.Ended {
+		record.Kind = RecordEnded
 	}
-	t.note(r)
+	t.writeRecord(record)
 }
 
-// note writes a record; the kernel keeps it if the process is killed.
-func (t *Target) note(r Run) {
-	r.Target, r.Slot, r.Service, r.At = t.cfg.ID, t.cfg.Slot, t.cfg.Service, time.Now().UnixNano()
+// writeRecord appends a record in one write, so that a kill doesn't lose it.
+func (t *Target) writeRecord(r Record) {
+	r.Target, r.Node, r.Service, r.At = t.cfg.ID, t.cfg.Node, t.cfg.Service, time.Now().UnixNano()
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a record that cannot be written would hide a fault
+		panic(err) // a missing record would hide a violation
 	}
 	if _, err := t.records.Write(append(b, '\n')); err != nil {
 		panic(err)
 	}
 }
 
-// besides serves what targets of a soak are asked besides calls.
-func (t *Target) besides() *http.ServeMux {
+// extraHandler serves the soak's requests other than calls.
+func (t *Target) extraHandler() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathHealth, func(http.ResponseWriter, *http.Request) {})
-	mux.HandleFunc(pathCopy, func(_ http.ResponseWriter, r *http.Request) {
-		t.stand.KeepCopy(r.FormValue("call"), number(r.FormValue("events")))
+	mux.HandleFunc(pathReplica, func(_ http.ResponseWriter, r *http.Request) {
+		t.standIn.KeepCopy(r.FormValue("call"), mustAtoi(r.FormValue("events")))
 	})
-	mux.HandleFunc(pathLoses, func(_ http.ResponseWriter, r *http.Request) {
-		t.stand.Misbehave(platform.FaultLoseAnswer)
-		time.AfterFunc(time.Duration(number(r.FormValue("ms")))*time.Millisecond, func() { t.stand.Misbehave("") })
+	mux.HandleFunc(pathLoseAnswers, func(_ http.ResponseWriter, r *http.Request) {
+		t.standIn.Misbehave(platform.FaultLoseAnswer)
+		time.AfterFunc(time.Duration(mustAtoi(r.FormValue("ms")))*time.Millisecond, func() { t.standIn.Misbehave("") })
 	})
 	return mux
 }
 
-// number reads a figure that the play itself has sent.
-func number(s string) int {
+// mustAtoi parses a number that the soak itself sent.
+func mustAtoi(s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		panic(err)
@@ -162,16 +161,16 @@
 	return n
 }
 
-// sendCopy has the target at an address, as the instances know it, keep a copy.
-func (t *Target) sendCopy(addr, call string, events int) {
-	if events%int(copyEvery/eventGap) != 0 {
+// sendReplica sends a replica to the target at an address that an instance named.
+func (t *Target) sendReplica(addr, call string, events int) {
+	if events%int(replicaInterval/eventInterval) != 0 {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), copyTime)
+		ctx, cancel := context.WithTimeout(context.Background(), replicaTimeout)
 		defer cancel()
-		_, p, _ := net.SplitHostPort(addr) // one that is none gets no copy
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s:%s%s?call=%s&events=%d", plainHost, p, pathCopy, call, events), nil)
+		_, port, _ := net.SplitHostPort(addr) // an invalid address gets an empty port, and the request fails
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s:%s%s?call=%s&events=%d", processHost, port, pathReplica, call, events), nil)
 		if err != nil {
 			return
 		}
@@ -181,10 +180,10 @@
 	}()
 }
 
-// answers are what a target with an id answers.
+// answers produces the answers of the target with this id.
 type answers string
 
-// Events are the rest of the events of the stream that a call is about.
+// Events returns the texts of a stream's events after a given one.
 func (answers) Events(_ context.Context, call string, after int) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for yield(subjectOf(call)) {
@@ -192,16 +191,16 @@
 	}
 }
 
-// Answer is a plain answer.
+// Answer returns a plain answer.
 func (a answers) Answer(_ context.Context, call string) (string, error) {
 	return plainAnswer(call, string(a)), nil
 }
 
-// plainAnswer is a plain service's answer to a call.
+// plainAnswer returns the expected answer of a target to a plain call.
 func plainAnswer(call, target string) string { return "answer to " + call + " by " + target }
 
-// eventText is the nth event of a subject's stream, wherever it is made.
+// eventText returns the text of a stream's nth event, the same at every target.
 func eventText(subject string, n int) string { return fmt.Sprintf("%s/%d", subject, n) }
 
-// subjectOf is the subject of a stream, the last part of its calls' ids.
+// subjectOf returns the subject of a stream, the last part of a call's id.
 func subjectOf(call string) string { return call[strings.LastIndexByte(call, '.')+1:] }
