--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -10,24 +10,24 @@
 HERE = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..")
 # name: promise, and file, text, replacement of each change
 BUGS = {
-    "a token comes twice": ("ORDER", "ingress/run.go", "	if _, err := s.w.Write(e.Raw); err != nil {", "	if e.ID == 7 {\n\t\ts.w.Write(e.Raw)\n\t}\n	if _, err := s.w.Write(e.Raw); err != nil {"),
-    "a stream that goes on begins anew": ("ORDER", "ingress/run.go", "		if e.ID <= s.last {", "		if false && e.ID <= s.last {",
-        "ingress/stream.go", "	if s.last > 0 {\n		o.After", "	if s.last < 0 {\n		o.After", "ingress/run.go", "		if !s.follows(e.ID, r.fresh == 0) {", "		if false {"),
+    "a token comes twice": ("ORDER", "ingress/run.go", "	if _, err := s.w.Write(event.Raw); err != nil {", "	if event.ID == 7 {\n\t\ts.w.Write(event.Raw)\n\t}\n	if _, err := s.w.Write(event.Raw); err != nil {"),
+    "a stream that goes on begins anew": ("ORDER", "ingress/run.go", "		if event.ID <= s.lastID {", "		if false && event.ID <= s.lastID {",
+        "ingress/stream.go", "	if s.lastID > 0 {\n		o.After", "	if s.lastID < 0 {\n		o.After", "ingress/run.go", "		if !s.isNextID(event.ID, a.newEvents == 0) {", "		if false {"),
     "a cut stream looks complete": ("ORDER", "ingress/stream.go", "	s.logFailure(0, \"stream cut: \"+cause, err)\n	panic(http.ErrAbortHandler)", "	s.logFailure(0, \"stream cut: \"+cause, err)\n	return"),
-    "not run, though it may have": ("NOTRUN", "ingress/job.go", "	if !j.mayRun {", "	if j != nil {"),
-    "payments are sent again": ("TWICE", "ingress/plain.go", "			if j.mayRun && !safe {", "			if false && j.mayRun && !safe {"),
+    "not run, though it may have": ("NOTRUN", "ingress/job.go", "	if !c.mayHaveRun {", "	if c != nil {"),
+    "payments are sent again": ("TWICE", "ingress/plain.go", "			if c.mayHaveRun && !safe {", "			if false && c.mayHaveRun && !safe {"),
     "a removed key is good while the store is away": ("REVOKED", "desired/book.go", "		if age > b.ages.Key {", "		if false && age > b.ages.Key {"),
-    "states are taken over late": ("CURRENT", "desired/book.go", "	b.cur.Store(compile(d))", "	time.AfterFunc(4*time.Second, func() { b.cur.Store(compile(d)) })"),
-    "an older state is in force now and then": ("REVERTED", "desired/book.go", "	t := b.cur.Load()\n	g :=", "	t := b.cur.Load()\n	if p := b.old.Load(); p != nil && now%5 == 0 {\n		t = p\n	}\n	g :=",
-        "desired/book.go", "cur   atomic.Pointer[table]", "cur, old atomic.Pointer[table]", "desired/book.go", "	b.cur.Store(compile(d))", "	b.old.Store(b.cur.Load())\n	b.cur.Store(compile(d))"),
+    "states are taken over late": ("CURRENT", "desired/book.go", "	b.current.Store(newTable(d))", "	time.AfterFunc(4*time.Second, func() { b.current.Store(newTable(d)) })"),
+    "an older state is in force now and then": ("REVERTED", "desired/book.go", "	t := b.current.Load()\n	g :=", "	t := b.current.Load()\n	if p := b.old.Load(); p != nil && now%5 == 0 {\n		t = p\n	}\n	g :=",
+        "desired/book.go", "current    atomic.Pointer[table]", "current, old atomic.Pointer[table]", "desired/book.go", "	b.current.Store(newTable(d))", "	b.old.Store(b.current.Load())\n	b.current.Store(newTable(d))"),
     "targets that leave get work": ("DRAIN", "registry/registry.go", "!m.target.Draining() && ", ""),
-    "calls are cut at the end": ("LOST", "instance/instance.go", "	if !clock.Sleep(life, leaveSettle) {", "	if i != nil {"),
+    "calls are cut at the end": ("LOST", "instance/instance.go", "	if !clock.Sleep(lifetime, drainAcceptPeriod) {", "	if i != nil {"),
     "another target's address": ("UNASKED", "platform/order.go", "	set(headExpect, o.Target.ID())\n", ""),
     "the key is passed on": ("UNASKED", "platform/names.go", "var ours = []string{headKey, ", "var ours = []string{"),
     "no end in time": ("FINAL", "ingress/handler.go", "	ctx, cancel := context.WithTimeout(ctx, limit)", "	ctx, cancel := context.WithTimeout(ctx, limit+time.Minute)"),
-    "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashKeeper{Store: i.store}.Make(mctx, edits[:n])", "	err := mctx.Err()"),
-    "a bystander is condemned": ("BYSTANDER", "poison/book.go", "		guilty := !b.Dry && own >= enough && b.wellOf(s.suspect, now) <= ranWellShare*len(s.deaths)", "		guilty := own > 0"),
-    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.gone != nil {\n		close(s.gone)\n		s.gone = nil\n	}\n", "	panic(s)\n"),
+    "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashKeeper{Store: i.store}.Make(writeCtx, edits[:n])", "	err := writeCtx.Err()"),
+    "a bystander is condemned": ("BYSTANDER", "poison/book.go", "		quarantine := !b.Dry && attributed >= threshold && b.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)", "		quarantine := attributed > 0"),
+    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.lost != nil {\n		close(s.lost)\n		s.lost = nil\n	}\n", "	panic(s)\n"),
 }
 
 
