--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -14,7 +14,7 @@
     "a token comes twice": ("ORDER", "ingress/run.go", "	if _, err := s.w.Write(event.Raw); err != nil {", "	if event.ID == 7 {\n\t\ts.w.Write(event.Raw)\n\t}\n	if _, err := s.w.Write(event.Raw); err != nil {"),
     "a stream that goes on begins anew": ("ORDER", "ingress/run.go", "		if event.ID <= s.lastID {", "		if false && event.ID <= s.lastID {",
         "ingress/stream.go", "	if s.lastID > 0 {\n		o.After", "	if s.lastID < 0 {\n		o.After", "ingress/run.go", "		if !s.isNextID(event.ID, a.newEvents == 0) {", "		if false {"),
-    "a cut stream looks complete": ("ORDER", "ingress/stream.go", "	panic(http.ErrAbortHandler)", "	return"),
+    "a cut stream looks complete": ("ORDER", "ingress/stream.go", "	s.logFailure(0, \"stream cut: \"+cause, err)\n	panic(http.ErrAbortHandler)", "	s.logFailure(0, \"stream cut: \"+cause, err)\n	return"),
     "not run, though it may have": ("NOTRUN", "ingress/job.go", "	if !c.mayHaveRun {", "	if c != nil {"),
     "payments are sent again": ("TWICE", "ingress/plain.go", "			if c.mayHaveRun && !safe {", "			if false && c.mayHaveRun && !safe {"),
     "a removed key is good while the store is away": ("REVOKED", "desired/book.go", "		if age > b.ages.Key {", "		if false && age > b.ages.Key {"),
