--- a/poison/book.go
+++ b/poison/book.go
@@ -87,7 +87,7 @@
 		print           Fingerprint
 		org             string
 		service         string
-		crashes         map[ragworthitch.Boot]*crash
+		crashes         map[ragworthitch.Boot]*crashRecord
 		quarantined     bool
 		threshold       int   // crashes that were needed for the quarantine
 		probes          int   // since the quarantine
@@ -95,8 +95,8 @@
 		updatedAt       clock.Time
 	}
 
-	// crash is one crash of a suspect.
-	crash struct {
+	// crashRecord is a crash under a suspect, and where it has been recorded.
+	crashRecord struct {
 		Death
 		knownAt      clock.Time // when this instance learned of the crash
 		observedHere bool       // this instance writes the crash to the store
@@ -107,11 +107,11 @@
 	// countedSuspect is a suspect with the crashes that count against it.
 	countedSuspect struct {
 		*suspect
-		crashes []*crash
+		crashes []*crashRecord
 	}
 
-	// release records the crashes of a request from before it ran well. They don't
-	// count any more, whoever reports them later.
+	// release holds the crashes of a request that were known when an attempt of it
+	// succeeded. These crashes don't count any more, whoever reports them later.
 	release struct {
 		boots map[ragworthitch.Boot]bool
 		at    clock.Time
@@ -134,8 +134,8 @@
 	}
 )
 
-// Ran reports whether a target of the version has crashed under the request. An unknown
-// version counts as one that has.
+// Ran reports whether a target of the version has crashed under the request; for an
+// unknown version it assumes so.
 func (v Verdict) Ran(version string) bool {
 	return version == "" || slices.Contains(v.crashedVersions, version)
 }
@@ -157,8 +157,8 @@
 	}
 	v.Wait = max(0, s.updatedAt.Add(s.probeDelay()).Sub(now))
 	v.Trial = Trial{Print: f, Count: s.probes + 1, Row: s.probeRowVersion}
-	for _, d := range s.crashes {
-		v.crashedVersions = append(v.crashedVersions, d.Version)
+	for _, c := range s.crashes {
+		v.crashedVersions = append(v.crashedVersions, c.Version)
 	}
 	return v
 }
@@ -177,11 +177,11 @@
 // that were lost alone, and those of targets that were lost with others if several of
 // them were running attempts of the request. A zone outage usually hits a single
 // attempt.
-func (s *suspect) countedCrashes() []*crash {
-	var out []*crash
-	for _, d := range s.crashes {
-		if !d.Together || s.hasConcurrentCrash(d) {
-			out = append(out, d)
+func (s *suspect) countedCrashes() []*crashRecord {
+	var out []*crashRecord
+	for _, c := range s.crashes {
+		if !c.Together || s.hasConcurrentCrash(c) {
+			out = append(out, c)
 		}
 	}
 	return out
@@ -189,10 +189,10 @@
 
 // hasConcurrentCrash reports whether another call with the same request lost another
 // target at about the same time.
-func (s *suspect) hasConcurrentCrash(d *crash) bool {
+func (s *suspect) hasConcurrentCrash(c *crashRecord) bool {
 	for _, o := range s.crashes {
-		interval := max(d.knownAt.Sub(o.knownAt), o.knownAt.Sub(d.knownAt))
-		if o.Boot != d.Boot && o.Call != d.Call && interval < TogetherTime {
+		interval := max(c.knownAt.Sub(o.knownAt), o.knownAt.Sub(c.knownAt))
+		if o.Boot != c.Boot && o.Call != c.Call && interval < TogetherTime {
 			return true
 		}
 	}
@@ -258,10 +258,10 @@
 // storeCrashes queues the crashes that this instance observed, and that count, for the
 // store; b.mu is held.
 func (b *Book) storeCrashes(s *suspect) {
-	for _, d := range s.countedCrashes() {
-		if d.observedHere && !d.storeQueued && len(s.crashes) <= maxStoredCrashes {
-			d.storeQueued = true
-			b.queueEdit(Edit{Death: d.Death})
+	for _, c := range s.countedCrashes() {
+		if c.observedHere && !c.storeQueued && len(s.crashes) <= maxStoredCrashes {
+			c.storeQueued = true
+			b.queueEdit(Edit{Death: c.Death})
 		}
 	}
 }
@@ -274,7 +274,7 @@
 	s := b.suspects[d.Print]
 	if s == nil {
 		b.evictFor(d.Org, source == SourceOwn)
-		s = &suspect{print: d.Print, org: d.Org, service: d.Service, crashes: map[ragworthitch.Boot]*crash{}}
+		s = &suspect{print: d.Print, org: d.Org, service: d.Service, crashes: map[ragworthitch.Boot]*crashRecord{}}
 		b.suspects[d.Print] = s
 		b.suspectCount.Store(int32(len(b.suspects)))
 	}
@@ -282,7 +282,7 @@
 		known.stored = known.stored || source == SourceStore
 		return false
 	}
-	s.crashes[d.Boot] = &crash{Death: d, knownAt: now, observedHere: source == SourceOwn, stored: source == SourceStore}
+	s.crashes[d.Boot] = &crashRecord{Death: d, knownAt: now, observedHere: source == SourceOwn, stored: source == SourceStore}
 	s.updatedAt = now
 	b.incCounter("poison_deaths")
 	b.Log.Warn().Stringer("fingerprint", d.Print).Str("org", d.Org).Str("service", d.Service).Str("target", d.Boot.ID()).
@@ -290,8 +290,8 @@
 	return true
 }
 
-// RanWell records that an attempt succeeded, or outlived the time in which a poison
-// request crashes its target. The request is released.
+// RanWell records that an attempt succeeded, or ran longer than a poison request takes to
+// crash its target. The request is released.
 func (b *Book) RanWell(f Fingerprint, now clock.Time) {
 	b.successes.add(f, now)
 	if b.suspectCount.Load() == 0 {
@@ -336,9 +336,9 @@
 		Bool("wasCondemned", s.quarantined).Int("trials", s.probes).Str("cause", cause).Msg("poison: request is no longer tracked")
 }
 
-// evaluate decides which suspects are quarantined. Suspects are ranked by their
-// crashes: a crash that a quarantined request with more crashes explains is not
-// attributed to the bystanders on the same target; b.mu is held.
+// evaluate decides which suspects are quarantined. It starts with the suspects that have
+// the most crashes: a target's crash is not attributed to a request if a quarantined request
+// with more crashes ran there too. b.mu is held.
 func (b *Book) evaluate(now clock.Time) {
 	var ranked []countedSuspect
 	quarantinedByOrg := map[string]int{}
@@ -349,14 +349,14 @@
 		if s.quarantined {
 			quarantinedByOrg[s.org]++
 		}
-		for _, d := range crashes {
-			blamed[d.Boot] = true
+		for _, c := range crashes {
+			blamed[c.Boot] = true
 		}
 	}
 	slices.SortFunc(ranked, func(x, y countedSuspect) int {
 		return cmp.Or(cmp.Compare(len(y.crashes), len(x.crashes)), slices.Compare(x.print[:], y.print[:]))
 	})
-	maxCrashes := map[ragworthitch.Boot]int{} // most crashes of a quarantined request that explains the crash
+	maxCrashesByBoot := map[ragworthitch.Boot]int{} // the most crashes of any quarantined request that ran there
 	for _, s := range ranked {
 		threshold := crashThreshold(b.losses.independentRate(s.service, func(boot ragworthitch.Boot) bool { return blamed[boot] }, now))
 		if quarantinedByOrg[s.org] >= strictOrgQuarantines {
@@ -366,15 +366,15 @@
 			threshold = min(threshold, s.threshold)
 		}
 		attributed := 0
-		for _, d := range s.crashes {
-			if maxCrashes[d.Boot] <= len(s.crashes) {
+		for _, c := range s.crashes {
+			if maxCrashesByBoot[c.Boot] <= len(s.crashes) {
 				attributed++
 			}
 		}
 		quarantine := !b.Dry && attributed >= threshold && b.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)
 		if quarantine {
-			for _, d := range s.crashes {
-				maxCrashes[d.Boot] = max(maxCrashes[d.Boot], len(s.crashes))
+			for _, c := range s.crashes {
+				maxCrashesByBoot[c.Boot] = max(maxCrashesByBoot[c.Boot], len(s.crashes))
 			}
 		}
 		b.setQuarantined(s.suspect, quarantine, now)
@@ -382,17 +382,17 @@
 	}
 }
 
-// recentSuccesses returns how many attempts of a request succeeded recently, here or at
-// an instance that saw a target crash under it, whichever is more.
+// recentSuccesses returns how many attempts of a request succeeded recently: the highest
+// count of this instance and of the instances that observed a crash under the request.
 func (b *Book) recentSuccesses(s *suspect, now clock.Time) int {
 	n := b.successes.recent(s.print, now)
-	for _, d := range s.crashes {
-		n = max(n, d.Well)
+	for _, c := range s.crashes {
+		n = max(n, c.Well)
 	}
 	return n
 }
 
-// setQuarantined changes the state of a suspect, if it differs; b.mu is held.
+// setQuarantined quarantines or releases a suspect and logs the change; b.mu is held.
 func (b *Book) setQuarantined(s *suspect, quarantined bool, now clock.Time) {
 	if quarantined == s.quarantined {
 		return
@@ -416,8 +416,8 @@
 // targetIDs returns the ids of the targets whose crashes count, sorted.
 func (s *suspect) targetIDs() []string {
 	var out []string
-	for _, d := range s.countedCrashes() {
-		out = append(out, d.Boot.ID())
+	for _, c := range s.countedCrashes() {
+		out = append(out, c.Boot.ID())
 	}
 	slices.Sort(out)
 	return out
--- a/poison/bystanders_test.go
+++ b/poison/bystanders_test.go
@@ -79,100 +79,100 @@
 	for _, c := range cases.Load[scenario](t, "testdata/bystanders.yaml") {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			lostRuns, blamed := 0, 0
+			lostAttempts, blamed := 0, 0
 			for seed := range uint64(simulations) {
-				d := &simulation{scenario: c, rng: rand.New(rand.NewPCG(seed, 1)), crashesByRequest: map[string]int{}}
-				m, b := d.run(t)
-				lostRuns, blamed = lostRuns+m, blamed+b
-				assert.Len(t, d.crashesByRequest, c.Poison)
-				for name, n := range d.crashesByRequest {
-					assert.True(t, d.book.Judge(fingerprintOf(name), d.clock()).Condemned, name)
+				sim := &simulation{scenario: c, rng: rand.New(rand.NewPCG(seed, 1)), crashesByRequest: map[string]int{}}
+				m, b := sim.run(t)
+				lostAttempts, blamed = lostAttempts+m, blamed+b
+				assert.Len(t, sim.crashesByRequest, c.Poison)
+				for name, n := range sim.crashesByRequest {
+					assert.True(t, sim.book.Judge(fingerprintOf(name), sim.clock()).Condemned, name)
 					assert.LessOrEqual(t, n, minCrashThreshold+maxLateCrashes, name)
 				}
 			}
-			t.Logf("%d attempts of bystanders lost their targets, %d of these crashes were attributed to their requests", lostRuns, blamed)
+			t.Logf("%d attempts of bystanders lost their targets, %d of these crashes were attributed to their requests", lostAttempts, blamed)
 		})
 	}
 }
 
-func (d *simulation) clock() clock.Time { return clock.Time(time.Hour + d.now) }
+func (sim *simulation) clock() clock.Time { return clock.Time(time.Hour + sim.now) }
 
 // run returns how many attempts of bystanders were lost, and how many of these losses
 // were attributed to their requests.
-func (d *simulation) run(t *testing.T) (lostRuns, blamed int) {
-	for i := range d.Targets {
-		d.targets = append(d.targets, simulatedTarget{zone: i % d.Zones})
+func (sim *simulation) run(t *testing.T) (lostAttempts, blamed int) {
+	for i := range sim.Targets {
+		sim.targets = append(sim.targets, simulatedTarget{zone: i % sim.Zones})
 	}
-	for ; d.now < simulatedTime; d.now += tick {
-		d.arrivals()
-		d.injectFailures()
-		d.advance()
-		m, b := d.failOver(t)
-		lostRuns, blamed = lostRuns+m, blamed+b
+	for ; sim.now < simulatedTime; sim.now += tick {
+		sim.startStreams()
+		sim.injectFailures()
+		sim.advance()
+		m, b := sim.failOver(t)
+		lostAttempts, blamed = lostAttempts+m, blamed+b
 	}
-	return lostRuns, blamed
+	return lostAttempts, blamed
 }
 
-// happens draws whether an event of this rate occurs in the current tick.
-func (d *simulation) happens(perSecond float64) bool {
-	return d.rng.Float64() < perSecond*tick.Seconds()
+// occurs draws whether an event of this rate occurs in the current tick.
+func (sim *simulation) occurs(perSecond float64) bool {
+	return sim.rng.Float64() < perSecond*tick.Seconds()
 }
 
-func (d *simulation) arrivals() {
-	if d.happens(d.Streams) {
-		d.streamCount++
-		d.send(&simulatedStream{name: fmt.Sprint("s", d.streamCount)})
+func (sim *simulation) startStreams() {
+	if sim.occurs(sim.Streams) {
+		sim.streamCount++
+		sim.send(&simulatedStream{name: fmt.Sprint("s", sim.streamCount)})
 	}
-	for i := range d.Poison {
+	for i := range sim.Poison {
 		name := fmt.Sprint("x", i)
-		if d.happens(1/poisonInterval.Seconds()) && !d.book.Judge(fingerprintOf(name), d.clock()).Condemned {
-			d.send(&simulatedStream{name: name, isPoison: true})
+		if sim.occurs(1/poisonInterval.Seconds()) && !sim.book.Judge(fingerprintOf(name), sim.clock()).Condemned {
+			sim.send(&simulatedStream{name: name, isPoison: true})
 		}
 	}
 }
 
 // send starts an attempt at a random target that is up.
-func (d *simulation) send(s *simulatedStream) {
-	for range 10 * len(d.targets) {
-		s.target = d.rng.IntN(len(d.targets))
-		if d.targets[s.target].downUntil <= d.now {
-			s.boot, s.attemptTime = d.targets[s.target].boot, 0
-			s.untilPrefilled = time.Duration((0.5 + d.rng.Float64()) * float64(prefillTime))
-			d.streams = append(d.streams, s)
+func (sim *simulation) send(s *simulatedStream) {
+	for range 10 * len(sim.targets) {
+		s.target = sim.rng.IntN(len(sim.targets))
+		if sim.targets[s.target].downUntil <= sim.now {
+			s.boot, s.attemptTime = sim.targets[s.target].boot, 0
+			s.untilPrefilled = time.Duration((0.5 + sim.rng.Float64()) * float64(prefillTime))
+			sim.streams = append(sim.streams, s)
 			return
 		}
 	}
 }
 
-func (d *simulation) injectFailures() {
-	if d.happens(d.Crashes) {
-		d.crash(d.rng.IntN(len(d.targets)))
+func (sim *simulation) injectFailures() {
+	if sim.occurs(sim.Crashes) {
+		sim.crash(sim.rng.IntN(len(sim.targets)))
 	}
-	if d.happens(d.Outages) {
-		d.outage(d.rng.IntN(d.Zones), d.Share)
+	if sim.occurs(sim.Outages) {
+		sim.outage(sim.rng.IntN(sim.Zones), sim.Share)
 	}
-	if d.Half && d.now%(7*time.Second) == 3*time.Second {
-		d.outage(d.rng.IntN(d.Zones), 0.5)
+	if sim.Half && sim.now%(7*time.Second) == 3*time.Second {
+		sim.outage(sim.rng.IntN(sim.Zones), 0.5)
 	}
 }
 
-func (d *simulation) outage(zone int, share float64) {
-	for i := range d.targets {
-		if d.targets[i].zone == zone && d.rng.Float64() < share {
-			d.crash(i)
+func (sim *simulation) outage(zone int, share float64) {
+	for i := range sim.targets {
+		if sim.targets[i].zone == zone && sim.rng.Float64() < share {
+			sim.crash(i)
 		}
 	}
 }
 
-func (d *simulation) crash(target int) {
-	d.targets[target].downUntil = d.now + downTime
-	d.targets[target].boot++
+func (sim *simulation) crash(target int) {
+	sim.targets[target].downUntil = sim.now + downTime
+	sim.targets[target].boot++
 }
 
 // advance lets all attempts progress by a tick.
-func (d *simulation) advance() {
-	for _, s := range d.streams {
-		if d.targetLost(s) {
+func (sim *simulation) advance() {
+	for _, s := range sim.streams {
+		if sim.targetLost(s) {
 			continue
 		}
 		if s.untilPrefilled > 0 {
@@ -182,14 +182,14 @@
 		s.attemptTime += tick
 		if s.isPoison {
 			if s.attemptTime >= poisonCrashDelay {
-				d.crashesByRequest[s.name]++
-				d.crash(s.target)
+				sim.crashesByRequest[s.name]++
+				sim.crash(s.target)
 			}
 			continue
 		}
 		s.streamedTime += tick
 		if s.eventCount() == maxEarlyEvents+1 {
-			d.book.RanWell(fingerprintOf(s.name), d.clock())
+			sim.book.RanWell(fingerprintOf(s.name), sim.clock())
 		}
 	}
 }
@@ -197,43 +197,46 @@
 func (s *simulatedStream) eventCount() int { return int(s.streamedTime / eventInterval) }
 
 // targetLost reports whether the attempt's target has crashed.
-func (d *simulation) targetLost(s *simulatedStream) bool { return d.targets[s.target].boot != s.boot }
+func (sim *simulation) targetLost(s *simulatedStream) bool {
+	return sim.targets[s.target].boot != s.boot
+}
 
-// failOver moves the streams that lost their targets to others.
-func (d *simulation) failOver(t *testing.T) (lostRuns, blamed int) {
-	streams := d.streams
-	d.streams = nil
+// failOver sends the streams that lost their targets to other targets, unless they are
+// quarantined. It returns the same counts as run.
+func (sim *simulation) failOver(t *testing.T) (lostAttempts, blamed int) {
+	streams := sim.streams
+	sim.streams = nil
 	for _, s := range streams {
-		if !d.targetLost(s) {
-			gaveUp := s.untilPrefilled > 0 && d.book.Judge(fingerprintOf(s.name), d.clock()).Condemned
+		if !sim.targetLost(s) {
+			gaveUp := s.untilPrefilled > 0 && sim.book.Judge(fingerprintOf(s.name), sim.clock()).Condemned
 			if s.eventCount() < eventsPerStream && !gaveUp {
-				d.streams = append(d.streams, s)
+				sim.streams = append(sim.streams, s)
 			}
 			continue
 		}
-		d.book.Lost(Loss{Service: "llm", Zone: fmt.Sprint(d.targets[s.target].zone), Boot: bootOf(s), Targets: len(d.targets)}, d.clock())
-		sighting := d.observe(s)
+		sim.book.Lost(Loss{Service: "llm", Zone: fmt.Sprint(sim.targets[s.target].zone), Boot: bootOf(s), Targets: len(sim.targets)}, sim.clock())
+		sighting := sim.observe(s)
 		attributed := s.untilPrefilled <= 0 && sighting.Counts()
 		if attributed {
 			crash := crashOf(s.name, bootOf(s).ID())
 			crash.Call, crash.Together = fmt.Sprintf("%p", s), sighting.Together()
-			d.book.Died(crash, SourceOwn, d.clock())
+			sim.book.Died(crash, SourceOwn, sim.clock())
 		}
-		quarantined := d.book.Judge(fingerprintOf(s.name), d.clock()).Condemned
+		quarantined := sim.book.Judge(fingerprintOf(s.name), sim.clock()).Condemned
 		if !s.isPoison {
-			lostRuns++
+			lostAttempts++
 			if attributed {
 				blamed++
 			}
 			if quarantined {
-				t.Errorf("%s is quarantined at %v", s.name, d.now)
+				t.Errorf("%s is quarantined at %v", s.name, sim.now)
 			}
 		}
 		if !quarantined {
-			d.send(s)
+			sim.send(s)
 		}
 	}
-	return lostRuns, blamed
+	return lostAttempts, blamed
 }
 
 // bootOf returns the boot that an attempt was sent to.
@@ -242,23 +245,23 @@
 }
 
 // observe returns what an instance observes when an attempt loses its target.
-func (d *simulation) observe(s *simulatedStream) Sighting {
-	return Sighting{Events: s.eventCount(), Zone: d.checkNeighbours(func(o simulatedTarget) bool { return o.zone == d.targets[s.target].zone }, s.target),
-		Service: d.checkNeighbours(func(simulatedTarget) bool { return true }, s.target)}
+func (sim *simulation) observe(s *simulatedStream) Sighting {
+	return Sighting{Events: s.eventCount(), Zone: sim.checkNeighbours(func(o simulatedTarget) bool { return o.zone == sim.targets[s.target].zone }, s.target),
+		Service: sim.checkNeighbours(func(simulatedTarget) bool { return true }, s.target)}
 }
 
 // checkNeighbours checks some other targets for connections, but not those that are
 // already known to be lost.
-func (d *simulation) checkNeighbours(match func(simulatedTarget) bool, lost int) Round {
+func (sim *simulation) checkNeighbours(match func(simulatedTarget) bool, lost int) Round {
 	var r Round
-	for _, i := range d.rng.Perm(len(d.targets)) {
-		o := d.targets[i]
-		known := o.downUntil > d.now && o.downUntil < d.now+downTime-tick
+	for _, i := range sim.rng.Perm(len(sim.targets)) {
+		o := sim.targets[i]
+		known := o.downUntil > sim.now && o.downUntil < sim.now+downTime-tick
 		if i == lost || !match(o) || known || r.Asked == Neighbours {
 			continue
 		}
 		r.Asked++
-		if o.downUntil > d.now {
+		if o.downUntil > sim.now {
 			r.Lost++
 		}
 	}
--- a/poison/death.go
+++ b/poison/death.go
@@ -15,7 +15,7 @@
 	Neighbours = 5
 	// outageThreshold is the number of lost neighbours that indicates a zone outage,
 	// or, if they are more than half of those checked, an outage of the service. A
-	// single one may have crashed under the same request, sent by a peer.
+	// single lost neighbour may have crashed under the same request, sent by a peer.
 	outageThreshold = 2
 )
 
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -8,8 +8,8 @@
 	"fmt"
 )
 
-// shortBytes is the length of the prefix in logs and answers.
-const shortBytes = 8
+// prefixBytes is the length of the prefix that identifies a request in logs and answers.
+const prefixBytes = 8
 
 // ErrBadFingerprint is wrapped by the errors of Parse.
 var ErrBadFingerprint = errors.New("poison: bad fingerprint")
@@ -47,4 +47,4 @@
 func (f Fingerprint) Text() string { return hex.EncodeToString(f[:]) }
 
 // String returns a hexadecimal prefix for logs.
-func (f Fingerprint) String() string { return hex.EncodeToString(f[:shortBytes]) }
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:prefixBytes]) }
--- a/poison/losses.go
+++ b/poison/losses.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// TogetherTime is the interval in which targets that fail together are found to be
-	// lost. A target without power is found after 300 ms.
+	// TogetherTime is the interval within which instances detect the losses of targets
+	// that fail together. The loss of a target without power is detected after 300 ms.
 	TogetherTime = 400 * time.Millisecond
-	// lossWindow is how long a loss counts towards the rate of independent crashes.
+	// lossWindow is how long a loss counts towards the rate of independent crashes:
+	// losses that are neither part of an outage nor attributed to a request.
 	lossWindow = time.Minute
 	// earlyPeriod is the time after the start of an attempt in which a crash counts
 	// against its request.
@@ -102,7 +103,7 @@
 }
 
 // crashThreshold returns how many targets have to crash under a request until it is
-// quarantined, at a rate of independent crashes.
+// quarantined. rate is that of independent crashes, per target and second.
 func crashThreshold(rate float64) int {
 	n := minCrashThreshold
 	for n < maxCrashThreshold && math.Pow(rate*earlyPeriod.Seconds(), float64(n)) > maxChanceProbability {
--- a/poison/rows.go
+++ b/poison/rows.go
@@ -97,8 +97,8 @@
 // it.
 func (s *suspect) storedRows() []RowKey {
 	var out []RowKey
-	for boot, d := range s.crashes {
-		if d.storeQueued || d.stored {
+	for boot, c := range s.crashes {
+		if c.storeQueued || c.stored {
 			out = append(out, RowKey{Print: s.print, Boot: boot})
 		}
 	}
@@ -117,8 +117,8 @@
 	b.mu.Lock()
 	var deleted []Row
 	for _, s := range b.suspects {
-		for boot, d := range s.crashes {
-			if k := (RowKey{Print: s.print, Boot: boot}); d.stored && !present[k] {
+		for boot, c := range s.crashes {
+			if k := (RowKey{Print: s.print, Boot: boot}); c.stored && !present[k] {
 				deleted = append(deleted, Row{RowKey: k, Gone: true})
 			}
 		}
@@ -161,7 +161,7 @@
 	s.probeRowVersion = max(s.probeRowVersion, r.Version)
 }
 
-// applyDeletion applies that the row of a crash was deleted; b.mu is held.
+// applyDeletion removes a crash whose row was deleted from the store; b.mu is held.
 func (b *Book) applyDeletion(k RowKey) {
 	s := b.suspects[k.Print]
 	if s == nil || s.crashes[k.Boot] == nil || !s.crashes[k.Boot].stored {
