--- a/admit/memory.go
+++ b/admit/memory.go
@@ -25,7 +25,7 @@
 	return io.ReadAll(&countedReader{m: m, r: r})
 }
 
-// Free releases n bytes.
+// Free releases n bytes that Read has returned.
 func (m *Memory) Free(n int) { m.used.Add(-int64(n)) }
 
 // reserve takes n bytes and reports whether they fit the limit.
@@ -43,9 +43,9 @@
 	r io.Reader
 }
 
-func (t *countedReader) Read(p []byte) (int, error) {
-	n, err := t.r.Read(p)
-	if !t.m.reserve(n) {
+func (c *countedReader) Read(p []byte) (int, error) {
+	n, err := c.r.Read(p)
+	if !c.m.reserve(n) {
 		return 0, ErrNoMemory
 	}
 	return n, err
