--- a/budget/budget.go
+++ b/budget/budget.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	buckets = 10 // per window
-
+	// buckets is the number of parts of a window that are counted separately.
+	buckets = 10
 	// ratioMargin keeps the used ratio below the limit, as the window moves in steps
 	// of a bucket and a retry may reach the service later than it is counted.
 	ratioMargin = 0.85
@@ -25,8 +25,8 @@
 	// staleAfter is the age from which the number of instances counts as stale. Twice
 	// as many are assumed then.
 	staleAfter = 20 * time.Second
-	// assumedEntries is the number of instances that is assumed while it is unknown.
-	assumedEntries = 380
+	// assumedInstances is the number of instances that is assumed while it is unknown.
+	assumedInstances = 380
 )
 
 type (
@@ -43,9 +43,9 @@
 
 	// Budget counts calls and retries of every service. Make one with New.
 	Budget struct {
-		limit      Limit
-		instances  Entries
-		bucketSpan time.Duration
+		limit         Limit
+		instanceCount Entries
+		bucketSpan    time.Duration
 
 		mu       sync.Mutex
 		services map[string]*window
@@ -60,8 +60,8 @@
 
 // New returns a budget with the given limit. A nil instances means that the limit
 // isn't shared.
-func New(l Limit, instances Entries) *Budget {
-	return &Budget{limit: l, instances: instances, bucketSpan: max(l.Span/buckets, time.Millisecond), services: map[string]*window{}}
+func New(l Limit, instanceCount Entries) *Budget {
+	return &Budget{limit: l, instanceCount: instanceCount, bucketSpan: max(l.Span/buckets, time.Millisecond), services: map[string]*window{}}
 }
 
 // Called counts an incoming call to a service.
@@ -72,8 +72,8 @@
 	w.calls[w.newest%buckets]++
 }
 
-// Spend takes one retry out of a service's budget and reports whether there was
-// one.
+// Spend takes one retry out of a service's budget, or a borrowed one if the budget
+// is used up. It reports whether there was one.
 func (b *Budget) Spend(service string, now clock.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,8 +85,8 @@
 	return true
 }
 
-// usage returns this instance's limit in the window that ends now, and how many
-// retries it has used; b.mu is held.
+// usage returns how many retries this instance may make in the window that ends
+// now, and how many it has made or lent; b.mu is held.
 func (b *Budget) usage(w *window, now clock.Time) (limit float64, used int) {
 	calls := 0
 	for i := range buckets {
@@ -98,7 +98,7 @@
 
 // extra returns this instance's part of the extra retries.
 func (b *Budget) extra(now clock.Time) float64 {
-	if b.instances == nil {
+	if b.instanceCount == nil {
 		return b.limit.Extra
 	}
 	return extraMargin * b.limit.Extra / float64(b.Sharers(now))
@@ -106,19 +106,20 @@
 
 // Sharers returns the number of instances that are assumed to share the limit.
 func (b *Budget) Sharers(now clock.Time) int {
-	if b.instances == nil {
+	if b.instanceCount == nil {
 		return 1
 	}
-	n, at, ok := b.instances()
+	n, at, ok := b.instanceCount()
 	switch {
 	case !ok:
-		return assumedEntries
+		return assumedInstances
 	case now.Sub(at) > staleAfter:
 		return 2 * n
 	}
 	return n
 }
 
+// window returns the window of a service, moved to the current time; b.mu is held.
 func (b *Budget) window(service string, now clock.Time) *window {
 	w := b.services[service]
 	if w == nil {
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -58,12 +58,12 @@
 // Guards against instances that together exceed the retry budget in some window
 // while calls fail, instances come and go, and their number is stale or unknown.
 // With few calls only the extra retries are shared.
-func TestEntriesTogether(t *testing.T) {
+func TestInstancesTogether(t *testing.T) {
 	for _, tt := range cases.Load[deploymentCase](t, "testdata/storms.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
 			maxUse := 0.0
 			for seed := range uint64(3) {
-				maxUse = max(maxUse, tt.play(t, seed))
+				maxUse = max(maxUse, tt.simulate(t, seed))
 			}
 			t.Logf("largest use of the limit: %.2f", maxUse)
 			assert.GreaterOrEqual(t, maxUse, tt.Use, "too little of the limit is used")
@@ -90,8 +90,9 @@
 	Use float64 // least share of the limit that is used at the peak
 }
 
-// play returns the largest use of the limit in any window.
-func (tt deploymentCase) play(t *testing.T, seed uint64) float64 {
+// simulate returns the largest use of the limit in any window, as a share, and fails
+// the test if a window exceeds the limit.
+func (tt deploymentCase) simulate(t *testing.T, seed uint64) float64 {
 	const ticks, tick, readInterval = 400, 100 * time.Millisecond, 1500 * time.Millisecond
 	rng := rand.New(rand.NewPCG(seed, 4))
 	var all []*instance
