--- a/lend/lend.go
+++ b/lend/lend.go
@@ -55,11 +55,12 @@
 		conns     map[string]*wire.Conn // idle ones, by address
 	}
 
-	// round is one sequence of requests for a service; done is closed at its end.
+	// round is a sequence of requests to lenders for a service's retries; done is
+	// closed at its end.
 	round struct{ done chan struct{} }
 )
 
-// ServeHTTP serves one instance until its connection ends.
+// ServeHTTP serves one borrower until its connection ends.
 func (l *Lender) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, err := wire.AcceptLoan(w, r)
 	if err != nil {
@@ -71,7 +72,8 @@
 	}
 }
 
-// lend answers one request; an error ends the connection.
+// lend receives one request for a loan and answers it; an error ends the
+// connection.
 func (l *Lender) lend(ctx context.Context, c *wire.Conn, borrower string) error {
 	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
@@ -97,8 +99,8 @@
 	}
 }
 
-// startRound returns the round in progress or starts one; nil soon after a failed
-// round.
+// startRound returns the round in progress or starts one. It returns nil within
+// roundInterval after a failed round.
 func (b *Borrower) startRound(service string) *round {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -137,8 +139,8 @@
 	close(r.done)
 }
 
-// candidates returns the instances to ask in random order, those of other zones
-// first.
+// candidates returns at most maxLenders instances to ask, in random order but those
+// of other zones first.
 func (b *Borrower) candidates() []exchange.Peer {
 	var sameZone, otherZones []exchange.Peer
 	for _, p := range b.Peers() {
@@ -158,7 +160,8 @@
 	rand.Shuffle(len(ps), func(i, j int) { ps[i], ps[j] = ps[j], ps[i] })
 }
 
-// borrowFrom asks one instance. A loan whose reply doesn't arrive in time is lost.
+// borrowFrom asks one instance and returns the number of retries that it has lent.
+// A loan whose reply doesn't arrive in time is lost.
 func (b *Borrower) borrowFrom(p exchange.Peer, service string) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), lenderTimeout)
 	defer cancel()
@@ -187,6 +190,7 @@
 	return wire.DialLoan(ctx, addr)
 }
 
+// putConn keeps a connection for the next request to its address.
 func (b *Borrower) putConn(addr string, c *wire.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
