--- a/route/engine.go
+++ b/route/engine.go
@@ -22,8 +22,8 @@
 	// retransmission takes 200 ms or more; in a long stream it makes events
 	// late more often than a queue of this length does.
 	packetLossCost = 2.5
-	// jitterWeight spreads the choices of instances that don't see each
-	// other's calls yet.
+	// jitterWeight is the weight of a random term. It spreads the choices of
+	// instances that don't know of each other's calls yet.
 	jitterWeight = 0.1
 	// errorCost is the cost of an engine at which every call fails.
 	errorCost = 3
@@ -31,8 +31,8 @@
 	// slow after its start.
 	coldStartCost = 0.5
 	// missedObjectiveCost is the cost of an engine whose first event is
-	// expected after the objective. It keeps slow idle engines from being
-	// preferred to busy ones that meet the objective.
+	// expected after the objective. It makes busy engines that meet the
+	// objective preferable to slow idle ones.
 	missedObjectiveCost = 5
 	// zoneOutageCost is the cost of an engine when all other engines of its
 	// zone failed recently: a stream that loses its engine before the first
@@ -103,8 +103,8 @@
 // Homes returns the affinity of a call for each engine, by rendezvous hashing
 // of the call's subject and the engines' addresses: 1 for the preferred
 // target, less for the second one, 0 for the others. All instances agree on
-// the preferred target, and it changes only when an engine joins or leaves in
-// its place. An empty subject has no preferred target.
+// the preferred target. It changes only when that engine leaves, or when an
+// engine with a higher hash joins. An empty subject has no preferred target.
 func Homes(subject string, addrs []string) []float64 {
 	out := make([]float64, len(addrs))
 	if subject == "" {
--- a/route/engine_test.go
+++ b/route/engine_test.go
@@ -33,6 +33,7 @@
 		OnTroubled int     `yaml:"onTroubled"`
 	}
 
+	// sentCall is an attempt of an instance (entry), sent at a time in ms.
 	sentCall struct {
 		at, engine, entry int
 	}
@@ -56,8 +57,8 @@
 			longestQueueMs := 0.0
 			for seed := range uint64(repetitions) {
 				r := &loadRun{loadPattern: tt, rng: rand.New(rand.NewPCG(seed, 7))}
-				longestQueueMs += r.play() / repetitions
-				assert.LessOrEqual(t, r.sentToFailed(), tt.OnTroubled)
+				longestQueueMs += r.simulate() / repetitions
+				assert.LessOrEqual(t, r.sentToTroubled(), tt.OnTroubled)
 			}
 			t.Logf("longest queue %.0f ms", longestQueueMs)
 			assert.LessOrEqual(t, longestQueueMs, tt.Worst)
@@ -66,23 +67,25 @@
 	}
 }
 
-// play sends all streams and returns the longest queue that any of them met, in ms.
-func (r *loadRun) play() float64 {
+// simulate sends all streams and returns the longest queue that any of them met, in
+// ms.
+func (r *loadRun) simulate() float64 {
 	times := make([]int, r.Streams)
 	for i := range times {
 		times[i] = r.rng.IntN(r.WithinMs)
 	}
 	sort.Ints(times)
-	worst := 0.0
+	longest := 0.0
 	for _, at := range times {
 		entry := r.rng.IntN(r.Entries)
 		engine := r.choose(at, entry)
-		worst = max(worst, r.queue(at, engine, func(sentCall) bool { return true })/prefillTokensPerMs)
+		longest = max(longest, r.queue(at, engine, func(sentCall) bool { return true })/prefillTokensPerMs)
 		r.sent = append(r.sent, sentCall{at: at, engine: engine, entry: entry})
 	}
-	return worst
+	return longest
 }
 
+// choose returns the engine for a stream that arrives at an instance.
 func (r *loadRun) choose(at, entry int) int {
 	known := func(s sentCall) bool { return s.entry == entry || r.Shared && s.at+updateDelayMs <= at }
 	cands := make([]EngineCandidate, r.Engines)
@@ -106,8 +109,8 @@
 	return Pick(cands, Engines{}, 0)
 }
 
-// queue returns the prompt tokens that wait at an engine, of the calls that
-// counts selects.
+// queue returns the prompt tokens that wait at an engine at a time in ms. It
+// includes only the attempts for which counts is true.
 func (r *loadRun) queue(at, engine int, counts func(sentCall) bool) float64 {
 	tokens, last := 0.0, 0
 	for _, s := range r.sent {
@@ -120,7 +123,8 @@
 	return max(0, tokens-prefillTokensPerMs*float64(at-last))
 }
 
-func (r *loadRun) sentToFailed() int {
+// sentToTroubled returns the number of attempts at engines in the failed zone.
+func (r *loadRun) sentToTroubled() int {
 	n := 0
 	for _, s := range r.sent {
 		if s.engine < r.Troubled {
@@ -167,9 +171,9 @@
 				addrs[i] = fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250)
 			}
 			for b.Loop() {
-				homes := Homes("5c1e07a2", addrs)
+				affinities := Homes("5c1e07a2", addrs)
 				for i := range cands {
-					cands[i] = EngineCandidate{Takes: true, Backlog: float64(i), Home: homes[i]}
+					cands[i] = EngineCandidate{Takes: true, Backlog: float64(i), Home: affinities[i]}
 				}
 				Pick(cands, Engines{}, 0)
 			}
--- a/route/plain.go
+++ b/route/plain.go
@@ -9,8 +9,8 @@
 	// plainPacketLossCostMs is the cost of a link that certainly loses
 	// packets: some of its calls wait 200 ms for a retransmission.
 	plainPacketLossCostMs = 30
-	// coldStartShare is the share of its usual response time by which a
-	// target is expected to be slower just after its start.
+	// coldStartShare is how much slower a target is expected to be just after
+	// its start, relative to its usual response time.
 	coldStartShare = 0.5
 	// crossZoneLatencyMs is the round-trip time to another zone.
 	crossZoneLatencyMs = 2
