--- a/rollout/book.go
+++ b/rollout/book.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// canaryFraction is the part of the operator's bound on the share of calls that
-	// goes to canary calls; slackFraction is that of the constant part, which is
-	// divided among the instances. The rest is a margin for random variation.
+	// canaryFraction and slackFraction are the fractions of the operator's bounds
+	// Book.Share and Book.Slack that canary calls may use; the instances divide the
+	// slack equally. The rest is a margin for random variation.
 	canaryFraction = 0.95
 	slackFraction  = 0.4
 	// Fractions of an order's duration: answers count as recent from recentFrom on; a
@@ -56,7 +56,7 @@
 
 type (
 	// Book tracks the orders, versions and evidence that an instance knows. The zero
-	// value is ready to use; set its fields before.
+	// value is ready to use; exported fields have to be set before the first call.
 	Book struct {
 		// Share is the operator's bound on the share of a service's calls that a bad
 		// version may get; 0: the default.
@@ -87,10 +87,10 @@
 		latestEvidence map[Writer]Evidence // for any order
 		tallies        map[Writer]Tally    // for the current order
 		judge          judge
-		verdict        Verdict
-		hasNewEvidence bool // not yet evaluated by the judge
-		rollBackDue    bool // this instance has found the version bad, or the order was withdrawn
-		writtenAnswers int  // new version's answers in the own tally when last written
+		verdict        Verdict // the judge's latest
+		hasNewEvidence bool    // not yet evaluated by the judge
+		rollBackDue    bool    // this instance has found the version bad, or the order was withdrawn
+		writtenAnswers int     // new version's answers in the own tally when last written
 		writtenAt      clock.Time
 		firstSeen      map[string]clock.Time // by version
 		firstVersion   string                // the version that was discovered first
@@ -108,7 +108,7 @@
 	// other calls that were sent to the new version.
 	Calls struct{ All, Trial, Besides int }
 
-	// Answer is the judgement of one answer of a target.
+	// Answer says whether an answer of a target has a symptom.
 	Answer struct {
 		Service, Route, Target, Version string
 		Symptom                         Symptom
@@ -220,7 +220,7 @@
 	return out
 }
 
-// Withdraw records that the operator has withdrawn the order for a service. It is
+// Withdraw records that the operator has withdrawn the order for a service. The order is
 // rolled back unless its state is final.
 func (b *Book) Withdraw(name string) {
 	b.mu.Lock()
@@ -284,7 +284,7 @@
 	}
 }
 
-// Saw counts an answer to a call of this instance.
+// Saw counts an answer to a call of this instance as evidence for the current order.
 func (b *Book) Saw(a Answer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -302,7 +302,8 @@
 }
 
 // Times returns the time of an answer to a plain call relative to the old version's
-// baseline, or 0 if there are too few samples.
+// baseline, or 0 if there are too few samples. An answer of the old version is then added
+// to the baseline.
 func (b *Book) Times(name, route, version string, took time.Duration) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/rollout/book_test.go
+++ b/rollout/book_test.go
@@ -159,9 +159,9 @@
 func TestRouteWithHardlyAnyCalls(t *testing.T) {
 	tally := Tally{}
 	for range 100 {
-		for _, fresh := range []bool{false, true} {
-			tally.add(Group{Route: "often", New: fresh}, "i", false)
-			tally.add(Group{Route: "often", New: fresh, Symptom: Slow}, "i", false)
+		for _, isNew := range []bool{false, true} {
+			tally.add(Group{Route: "often", New: isNew}, "i", false)
+			tally.add(Group{Route: "often", New: isNew, Symptom: Slow}, "i", false)
 		}
 	}
 	before := canaryBudget{}
@@ -180,15 +180,15 @@
 	var b Book
 	b.Order(order(5), 0)
 	g := Group{Route: "r", New: true}
-	tell := func(started int64, seen int, order int64) {
+	receive := func(started int64, seen int, order int64) {
 		b.Heard(Evidence{Writer: Writer{Node: "n", Started: started}, Service: svc, Order: order, Tally: Tally{g: {Seen: seen}}})
 	}
-	tell(1, 3, 5)
-	tell(1, 7, 5)
-	tell(1, 3, 5)
-	tell(1, 7, 5)
-	tell(2, 2, 5) // the same instance after a restart
-	tell(3, 50, 4)
+	receive(1, 3, 5)
+	receive(1, 7, 5)
+	receive(1, 3, 5)
+	receive(1, 7, 5)
+	receive(2, 2, 5) // the same instance after a restart
+	receive(3, 50, 4)
 	assert.Equal(t, 9, poolGroup(b.services[svc].tallies, g).seen)
 }
 
@@ -210,7 +210,7 @@
 }
 
 // memoryStore is a store for TestModel, which may lose or delay changes and lose
-// answers.
+// replies.
 type memoryStore struct {
 	rng     *rand.Rand
 	status  Status
@@ -218,7 +218,7 @@
 	history []State
 }
 
-var errLost = errors.New("answer lost")
+var errLost = errors.New("reply lost")
 
 func (m *memoryStore) apply(c Change) (Status, error) {
 	if c.If != m.status.Row {
@@ -294,10 +294,10 @@
 			}
 			final[i] = st
 		}
-		before := None
+		previous := None
 		for _, s := range m.history {
-			assert.Contains(t, next[before], s, "seed %d: %v", seed, m.history)
-			before = s
+			assert.Contains(t, next[previous], s, "seed %d: %v", seed, m.history)
+			previous = s
 		}
 	}
 }
--- a/rollout/budget.go
+++ b/rollout/budget.go
@@ -1,8 +1,9 @@
 package rollout
 
-// minRouteShare is the least share of a service's answers for a route to get canary
-// calls and to be judged by itself. Other routes get the service's share of canary
-// calls, and their bad answers count.
+// minRouteShare is the least share of a service's answers with which a route is judged:
+// such routes get an equal number of canary calls, and each must look good before a
+// promotion. Other routes get canary calls at the share of the service, and their bad
+// answers count against the version too.
 const minRouteShare = 0.02
 
 type (
@@ -13,18 +14,18 @@
 	}
 
 	// canaryBudget computes the probability that a route's next call becomes a canary
-	// call. The calls of a share are divided equally among the routes with enough
-	// calls, so that a rare route gets as many canary calls as the others. Since all
-	// instances report their answers, the share holds on average over all of them,
-	// whatever their number. The zero value knows no route and has no extra calls.
+	// call. The canary calls are divided equally among the judged routes, so that a rare
+	// route gets as many as the others. Since all instances report their answers, the
+	// share holds on average over all instances, whatever their number. The zero value
+	// knows no route and has no extra calls.
 	canaryBudget struct {
 		usage      routeUsage
 		extraCalls float64 // further canary calls allowed; negative: the share was exceeded
 	}
 )
 
-// usageOf counts the answers of all writers: each is counted under Failing, good or
-// bad.
+// usageOf counts the answers of all writers. Every answer, good or bad, is counted once
+// under the symptom Failing.
 func usageOf(all map[Writer]Tally) routeUsage {
 	u := routeUsage{answersByRoute: map[string]int{}}
 	for _, t := range all {
@@ -38,16 +39,16 @@
 	return u
 }
 
-// hasEnoughCalls reports whether a route is judged by itself.
-func (u routeUsage) hasEnoughCalls(route string) bool {
+// isJudged reports whether a route has at least minRouteShare of the answers.
+func (u routeUsage) isJudged(route string) bool {
 	return float64(u.answersByRoute[route]) >= minRouteShare*float64(u.total)
 }
 
-// judgedRoutes returns the number of routes that are judged by themselves.
-func (u routeUsage) judgedRoutes() int {
+// judgedRouteCount returns the number of routes that are judged.
+func (u routeUsage) judgedRouteCount() int {
 	n := 0
 	for r := range u.answersByRoute {
-		if u.hasEnoughCalls(r) {
+		if u.isJudged(r) {
 			n++
 		}
 	}
@@ -57,10 +58,11 @@
 func (b *canaryBudget) updateUsage(all map[Writer]Tally) { b.usage = usageOf(all) }
 
 // canaryProbability returns the probability that a route's next call becomes a canary
-// call, where share is the share over all calls.
+// call, where share is the share over all calls. It adds as many of the extra calls as the
+// probability allows and subtracts them from extraCalls.
 func (b *canaryBudget) canaryProbability(route string, share float64) float64 {
 	p := share
-	if routes := b.usage.judgedRoutes(); routes > 0 && b.usage.hasEnoughCalls(route) {
+	if routes := b.usage.judgedRouteCount(); routes > 0 && b.usage.isJudged(route) {
 		routeShare := float64(b.usage.answersByRoute[route]+1) / float64(b.usage.total+routes)
 		p = min(1, share/(float64(routes)*routeShare))
 	}
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -20,7 +20,7 @@
 // Every instance applies the canary share to its own calls, so the operator's bound on the
 // share holds over all instances, whatever their number. Other calls that reach the new
 // version, by a retry or because no old target took them, are charged to the same budget.
-// An instance uses its part of the bound's constant only if it knows the number of
+// An instance uses its part of the slack only if it knows the number of
 // instances and was running when the order came; the rest is a margin for random variation.
 // From Moving on the bound doesn't hold: a version that turns bad then exceeds it before it
 // is found bad. The alternative would stop the old targets while they run all streams.
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -11,7 +11,7 @@
 	Failing Symptom = iota
 	// Slow: answers take several times as long as expected at the current load.
 	Slow
-	symptoms
+	symptomCount // the number of symptoms
 )
 
 // maxBadPerTarget is how many bad answers of one target count for a route and symptom,
@@ -64,7 +64,7 @@
 func (s pooledCount) String() string { return fmt.Sprintf("%d of %d bad", s.bad, s.seen) }
 
 // Known reports whether s is one of the symptoms.
-func (s Symptom) Known() bool { return s >= 0 && s < symptoms }
+func (s Symptom) Known() bool { return s >= 0 && s < symptomCount }
 
 func (t Tally) add(g Group, target string, bad bool) {
 	c := t[g]
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// minSpoiledShare is the least share of answers that a bad version spoils which the
-	// old version would not. minSpoiledShareOnRoute is that of a version that is bad on
+	// minSpoiledShare is the least share of answers that are good with the old version
+	// and bad with a bad one. minSpoiledShareOnRoute applies to a version that is bad on
 	// a single route, where fewer answers are counted.
 	minSpoiledShare        = 0.25
 	minSpoiledShareOnRoute = 0.4
@@ -31,7 +31,8 @@
 )
 
 type (
-	// testStatistics are those of one route and symptom of the new version.
+	// testStatistics holds the statistics of the tests of the new version on one route
+	// and symptom.
 	testStatistics struct {
 		previous   pooledCount // count of the new version at the last update
 		sprt       float64     // Wald's sum of log-likelihood ratios; low: good
@@ -67,19 +68,20 @@
 	return math.Log(q / p), math.Log((1 - q) / (1 - p))
 }
 
-// update adds the answers of the new version since the last update.
+// update adds the answers of the new version since the last update; recent says whether
+// they count as recent.
 func (t *testStatistics) update(newCount, oldCount pooledCount, recent bool) {
-	spoiled := float64(max(0, newCount.bad-t.previous.bad))
-	intact := max(0, float64(newCount.seen-t.previous.seen)-spoiled)
+	badAnswers := float64(max(0, newCount.bad-t.previous.bad))
+	goodAnswers := max(0, float64(newCount.seen-t.previous.seen)-badAnswers)
 	t.previous = newCount
-	bad, good := logLikelihoodRatios(oldCount, minSpoiledShare)
-	t.sprt += spoiled*bad + intact*good
+	badRatio, goodRatio := logLikelihoodRatios(oldCount, minSpoiledShare)
+	t.sprt += badAnswers*badRatio + goodAnswers*goodRatio
 	if recent {
-		t.recentSPRT += spoiled*bad + intact*good
+		t.recentSPRT += badAnswers*badRatio + goodAnswers*goodRatio
 	}
-	t.cusum = max(0, t.cusum+spoiled*bad+intact*good)
-	bad, good = logLikelihoodRatios(oldCount, minSpoiledShareOnRoute)
-	t.routeSPRT += spoiled*bad + intact*good
+	t.cusum = max(0, t.cusum+badAnswers*badRatio+goodAnswers*goodRatio)
+	badRatio, goodRatio = logLikelihoodRatios(oldCount, minSpoiledShareOnRoute)
+	t.routeSPRT += badAnswers*badRatio + goodAnswers*goodRatio
 }
 
 // evaluate returns the verdict on all evidence. With recent set, answers since the last
@@ -89,7 +91,7 @@
 	usage := usageOf(all)
 	alarm := math.Log(1 / falseAlarm)
 	v := Verdict{Good: len(j.routes) > 0, Likely: len(j.routes) > 0, Score: math.Inf(-1), Bound: math.Log(missedBad)}
-	for symptom := range symptoms {
+	for symptom := range symptomCount {
 		sprt, recentSPRT := 0.0, 0.0
 		for route := range j.routes {
 			newCount, oldCount := poolGroup(all, Group{route, true, symptom}), poolGroup(all, Group{route, false, symptom})
@@ -100,7 +102,7 @@
 			}
 			v.New, v.Old = addCounts(v.New, newCount), addCounts(v.Old, oldCount)
 			sprt, recentSPRT = sprt+t.sprt, recentSPRT+t.recentSPRT
-			judged := usage.hasEnoughCalls(route)
+			judged := usage.isJudged(route)
 			v.Good = v.Good && t.cusum <= maxPromoteFraction*alarm && (!judged || t.routeSPRT <= math.Log(missedBadRoute))
 			v.Likely = v.Likely && t.cusum <= maxPromoteFraction*alarm && (!judged || t.routeSPRT <= math.Log(lateBadRoute))
 		}
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -51,7 +51,7 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// ParseState returns the state with a name.
+// ParseState returns the state that String writes as name.
 func ParseState(name string) (s State, ok bool) {
 	for i, n := range stateNames {
 		if n == name {
--- a/rollout/placement.go
+++ b/rollout/placement.go
@@ -31,7 +31,7 @@
 		to     string
 		state  State
 		canary bool
-		held   map[string]bool
+		held   map[string]bool // versions that only get calls that no other version takes
 	}
 )
 
@@ -73,7 +73,7 @@
 // isRollingOut reports whether there is an order without a final state.
 func (s *service) isRollingOut() bool { return s.order.ID != 0 && !s.effectiveState().Final() }
 
-// effectiveState returns the state that this instance acts on: it may be ahead of the
+// effectiveState returns the state that this instance acts on, which may be ahead of the
 // status in the store.
 func (s *service) effectiveState() State {
 	if s.rollBackDue && !s.status.State.Final() {
@@ -85,7 +85,7 @@
 	return s.status.State
 }
 
-// Place returns where a call may be sent now.
+// Place returns which versions a call may be sent to now.
 func (b *Book) Place(name string, l Lane, now clock.Time) Placement {
 	if !b.InForce() {
 		return Placement{}
