--- a/rehearse/rehearse.go
+++ b/rehearse/rehearse.go
@@ -25,9 +25,10 @@
 )
 
 const (
-	// service is the only service, and version its new version.
-	service = "service"
-	version = "new"
+	// service is the only service, and newVersion its new version; the old version's
+	// name is empty.
+	service    = "service"
+	newVersion = "new"
 	// step is the resolution of the simulation.
 	step = 20 * time.Millisecond
 	// maxLag bounds the delay of the store's updates to an instance.
@@ -67,9 +68,9 @@
 		BadRoute string        // the version is bad on this route only; empty: on all
 
 		OldBad       float64    // share of the answers that are bad with either version
-		TargetLosses []Interval // a third of the targets of both versions is lost
-		StoreOutages []Interval // the store is unavailable
-		FaultyEvery  int        // of so many targets of either version, one spoils half of its answers; 0: none
+		TargetLosses []Interval // when a third of the targets of both versions is lost
+		StoreOutages []Interval // when the store is unavailable
+		FaultyEvery  int        // one in this many targets of either version spoils half of its answers; 0: none
 
 		Share, Slack float64 // the operator's bounds, as in rollout.Book
 		Seed         uint64
@@ -147,7 +148,7 @@
 	for sim.now = 0; sim.now < orderAt+p.Duration+p.Length; sim.now += step {
 		if sim.now == orderAt {
 			for _, n := range sim.instances {
-				n.book.Order(rollout.Order{ID: 1, Service: service, To: version, Duration: p.Duration}, clock.Time(sim.now))
+				n.book.Order(rollout.Order{ID: 1, Service: service, To: newVersion, Duration: p.Duration}, clock.Time(sim.now))
 			}
 		}
 		sim.startCalls()
@@ -173,27 +174,27 @@
 	return n
 }
 
-func (sim *simulation) within(intervals []Interval) bool {
+func (sim *simulation) isWithin(intervals []Interval) bool {
 	return slices.ContainsFunc(intervals, func(s Interval) bool { return sim.now >= orderAt+s.From && sim.now < orderAt+s.To })
 }
 
 // observe returns what every instance sees of the targets.
 func (sim *simulation) observe(string, string) rollout.Sight {
 	ready := sim.play.Targets
-	if sim.within(sim.play.TargetLosses) {
+	if sim.isWithin(sim.play.TargetLosses) {
 		ready -= sim.play.Targets / 3
 	}
-	return rollout.Sight{Old: sim.play.Targets, New: sim.play.Targets, NewReady: ready, OldWork: sim.load[""], NewWork: sim.load[version]}
+	return rollout.Sight{Old: sim.play.Targets, New: sim.play.Targets, NewReady: ready, OldWork: sim.load[""], NewWork: sim.load[newVersion]}
 }
 
 // startCalls starts the calls of a step.
 func (sim *simulation) startCalls() {
-	for range sim.poisson(sim.play.Rate * step.Seconds()) {
-		sim.startCall(sim.rng.IntN(len(sim.instances)), sim.route())
+	for range sim.drawPoisson(sim.play.Rate * step.Seconds()) {
+		sim.startCall(sim.rng.IntN(len(sim.instances)), sim.drawRoute())
 	}
 }
 
-func (sim *simulation) poisson(mean float64) int {
+func (sim *simulation) drawPoisson(mean float64) int {
 	n := 0
 	for elapsed := sim.rng.ExpFloat64(); elapsed < mean; elapsed += sim.rng.ExpFloat64() {
 		n++
@@ -201,7 +202,7 @@
 	return n
 }
 
-func (sim *simulation) route() string {
+func (sim *simulation) drawRoute() string {
 	names := make([]string, 0, len(sim.play.Routes))
 	for r := range sim.play.Routes {
 		names = append(names, r)
@@ -222,22 +223,22 @@
 	lane := b.Enter(service, route)
 	p := b.Place(service, lane, clock.Time(sim.now))
 	c := &call{instance: instance, route: route}
-	if p.Use(version) > p.Use("") {
-		c.version = version
+	if p.Use(newVersion) > p.Use("") {
+		c.version = newVersion
 	}
 	sim.send(c, lane, false)
 	sim.calls = append(sim.calls, c)
 }
 
-// send makes an attempt of a call.
+// send makes an attempt of a call at a random target of its version.
 func (sim *simulation) send(c *call, lane rollout.Lane, isRetry bool) {
 	sim.instances[c.instance].book.Sent(service, c.version, lane, isRetry)
 	target := sim.rng.IntN(sim.play.Targets)
-	if c.version == version {
+	if c.version == newVersion {
 		target = sim.rng.IntN(max(3, sim.play.Targets/5))
 	}
-	c.target, c.targetLost = fmt.Sprint(c.version, target), sim.within(sim.play.TargetLosses) && target%3 == 0
-	c.badness = sim.answerBadness(c, target)
+	c.target, c.targetLost = fmt.Sprint(c.version, target), sim.isWithin(sim.play.TargetLosses) && target%3 == 0
+	c.badness = sim.drawBadness(c, target)
 	slow := 1.0
 	if c.badness == Slow {
 		slow = 4
@@ -247,24 +248,24 @@
 	sim.load[c.version]++
 	if sim.now >= orderAt && sim.now < orderAt+sim.play.Duration {
 		sim.result.Reached++
-		if c.version == version {
+		if c.version == newVersion {
 			sim.result.Exposed++
 		}
 	}
-	if c.version == version && sim.fiftiethBadAt > 0 {
+	if c.version == newVersion && sim.fiftiethBadAt > 0 {
 		sim.result.LastAfter = sim.now - sim.fiftiethBadAt
 	}
 }
 
-// answerBadness returns the fault of a call's answer.
-func (sim *simulation) answerBadness(c *call, target int) Badness {
+// drawBadness draws the fault of a call's answer.
+func (sim *simulation) drawBadness(c *call, target int) Badness {
 	p := sim.play
 	switch {
 	case sim.rng.Float64() < p.OldBad, p.FaultyEvery > 0 && target%p.FaultyEvery == 0 && sim.rng.Float64() < 0.5:
 		return Failing
-	case c.version != version || p.Badness == Good || p.BadRoute != "" && p.BadRoute != c.route:
+	case c.version != newVersion || p.Badness == Good || p.BadRoute != "" && p.BadRoute != c.route:
 		return Good
-	case sim.now < orderAt+p.After || float64(sim.load[version]) < p.Load*float64(max(3, p.Targets/5)):
+	case sim.now < orderAt+p.After || float64(sim.load[newVersion]) < p.Load*float64(max(3, p.Targets/5)):
 		return Good
 	case sim.rng.Float64() < p.Part:
 		return p.Badness
@@ -301,7 +302,7 @@
 		a.Symptom, a.Bad = rollout.Slow, c.badness == Slow
 		b.Saw(a)
 	}
-	if c.badness != Good && c.version == version {
+	if c.badness != Good && c.version == newVersion {
 		sim.result.Bad++
 		if sim.result.Bad == 50 {
 			sim.fiftiethBadAt = sim.now
@@ -313,7 +314,7 @@
 func (sim *simulation) deliverUpdates() {
 	for _, u := range sim.updates {
 		for i, n := range sim.instances {
-			if u.delivered[i] || sim.now < u.writtenAt+n.storeLag || sim.within(sim.play.StoreOutages) {
+			if u.delivered[i] || sim.now < u.writtenAt+n.storeLag || sim.isWithin(sim.play.StoreOutages) {
 				continue
 			}
 			u.delivered[i] = true
@@ -333,7 +334,7 @@
 // Change writes a status under its condition.
 func (s store) Change(_ context.Context, c rollout.Change) (rollout.Status, error) {
 	sim := s.sim
-	if sim.within(sim.play.StoreOutages) {
+	if sim.isWithin(sim.play.StoreOutages) {
 		return rollout.Status{}, errStoreUnavailable
 	}
 	if c.If != sim.status.Row {
@@ -351,7 +352,7 @@
 // Tell writes evidence.
 func (s store) Tell(_ context.Context, e rollout.Evidence) error {
 	sim := s.sim
-	if sim.within(sim.play.StoreOutages) {
+	if sim.isWithin(sim.play.StoreOutages) {
 		return errStoreUnavailable
 	}
 	sim.updates = append(sim.updates, update{writtenAt: sim.now, evidence: &e, delivered: make([]bool, len(sim.instances))})
--- a/rehearse/rehearse_test.go
+++ b/rehearse/rehearse_test.go
@@ -131,9 +131,9 @@
 func runScenarios(t *testing.T, include func(scenario) bool, check func(*testing.T, scenario, int, summary)) {
 	b, err := os.ReadFile("testdata/rollouts.yaml")
 	require.NoError(t, err)
-	var scripts []scenario
-	require.NoError(t, yaml.UnmarshalWithOptions(b, &scripts, yaml.Strict()))
-	for _, s := range scripts {
+	var scenarios []scenario
+	require.NoError(t, yaml.UnmarshalWithOptions(b, &scenarios, yaml.Strict()))
+	for _, s := range scenarios {
 		if !include(s) {
 			continue
 		}
