--- a/pace/engine.go
+++ b/pace/engine.go
@@ -37,10 +37,10 @@
 	// none.
 	Engine struct {
 		mu        sync.Mutex
-		interval  quantile
-		sampledAt clock.Time // time of the newest sample
-		longest   float64    // longest recent event interval, ms; decays
-		longestAt clock.Time
+		interval  quantile          // event interval without other prefills, ms
+		sampledAt clock.Time        // time of the newest sample of interval
+		longest   float64           // longest recent event interval, ms; decays
+		longestAt clock.Time        // when longest was last updated
 		reports   map[string]report // by instance
 	}
 
@@ -51,7 +51,7 @@
 )
 
 // Event adds the time between two events of an attempt. undisturbed says that no
-// other prefill is known to have run at the engine meanwhile.
+// other prefill is known to have run at the engine between the two events.
 func (e *Engine) Event(interval time.Duration, undisturbed bool, now clock.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,7 +81,7 @@
 func (e *Engine) Own(now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.interval.n == 0 || now.Sub(e.sampledAt) > maxSampleAge {
+	if e.interval.samples == 0 || now.Sub(e.sampledAt) > maxSampleAge {
 		return 0
 	}
 	return fromMs(e.interval.value())
@@ -97,9 +97,9 @@
 	if e.reports == nil {
 		e.reports = map[string]report{}
 	}
-	for n, w := range e.reports {
-		if now.Sub(w.at) > maxSampleAge || len(e.reports) >= maxReports {
-			delete(e.reports, n)
+	for peer, reported := range e.reports {
+		if now.Sub(reported.at) > maxSampleAge || len(e.reports) >= maxReports {
+			delete(e.reports, peer)
 		}
 	}
 	e.reports[node] = report{intervalMs: inMs(interval), at: now}
@@ -107,7 +107,7 @@
 
 // Gap returns the expected event interval without other prefills at the engine:
 // the weighted geometric mean of own samples, peers' reports and the service's
-// usual interval. 0 if none is known.
+// usual interval; 0 if all three are unknown.
 func (e *Engine) Gap(usualInterval time.Duration, now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,11 +119,11 @@
 		}
 	}
 	add(inMs(usualInterval), serviceWeight)
-	if e.interval.n > 0 {
+	if e.interval.samples > 0 {
 		add(e.interval.value(), weightAt(now.Sub(e.sampledAt)))
 	}
-	for _, w := range e.reports {
-		add(w.intervalMs, weightAt(now.Sub(w.at)))
+	for _, reported := range e.reports {
+		add(reported.intervalMs, weightAt(now.Sub(reported.at)))
 	}
 	if weight == 0 {
 		return 0
@@ -131,7 +131,8 @@
 	return fromMs(math.Exp(sum / weight))
 }
 
-// weightAt returns the weight of a sample or report of an age.
+// weightAt returns the weight of a sample or report of the given age: the weight
+// halves every sampleHalfLife and is 0 beyond maxSampleAge.
 func weightAt(age time.Duration) float64 {
 	if age > maxSampleAge {
 		return 0
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	start  = clock.Time(time.Hour)
-	prompt = 5000
+	start        = clock.Time(time.Hour)
+	promptTokens = 5000
 )
 
 // engineKind holds the true figures of a kind of engine.
@@ -30,7 +30,7 @@
 }
 
 // feedEvents feeds events to an engine and its service and returns the time of the
-// last one.
+// last event.
 func feedEvents(e *Engine, s *Service, from clock.Time, interval time.Duration, events int) clock.Time {
 	for range events {
 		from = from.Add(interval)
@@ -46,25 +46,25 @@
 		t.Run(k.Name, func(t *testing.T) {
 			var e Engine
 			var s Service
-			assert.Zero(t, s.Pace().First(prompt, e.Gap(0, start)), "an estimate without samples")
+			assert.Zero(t, s.Pace().First(promptTokens, e.Gap(0, start)), "an estimate without samples")
 			now := start
 			for range 3 {
-				s.Sent(prompt)
+				s.Sent(promptTokens)
 				now = feedEvents(&e, &s, now, fromMs(k.GapMs), 40)
-				s.First(k.timeToFirstEvent(prompt), prompt, e.Own(now))
+				s.First(k.timeToFirstEvent(promptTokens), promptTokens, e.Own(now))
 			}
 			p := s.Pace()
 			interval := e.Gap(p.Gap, now)
 			assert.InEpsilon(t, k.GapMs, inMs(interval), 0.1)
-			assert.InEpsilon(t, prompt, p.Prompt, 0.01)
-			for _, tokens := range []int{prompt, 4 * prompt} {
+			assert.InEpsilon(t, promptTokens, p.Prompt, 0.01)
+			for _, tokens := range []int{promptTokens, 4 * promptTokens} {
 				assert.InEpsilon(t, inMs(k.timeToFirstEvent(tokens)), inMs(p.First(tokens, interval)), 0.1, "%d tokens", tokens)
 			}
 		})
 	}
 }
 
-// Guards against noticing a slow engine late, against remembering a recovered one
+// Guards against noticing a slow engine late, against treating a recovered engine
 // as slow, and against effects on other engines.
 func TestEngineTurnsSlow(t *testing.T) {
 	var e, other Engine
@@ -113,8 +113,8 @@
 	assert.LessOrEqual(t, len(e.reports), maxReports+1)
 }
 
-// Guards against attempts that are abandoned because all engines are loaded.
-// Abandoned attempts count as waits.
+// Guards against abandoning attempts while all engines are loaded: the waits of
+// abandoned attempts have to raise Spread too.
 func TestSpreadFollowsLoad(t *testing.T) {
 	var s Service
 	for range 50 {
--- a/pace/quantile.go
+++ b/pace/quantile.go
@@ -18,8 +18,8 @@
 // logarithmic scale, which limits the effect of outliers. The zero value has no
 // samples.
 type quantile struct {
-	ln float64
-	n  int
+	logValue float64 // natural logarithm of the estimate
+	samples  int     // number of samples so far
 }
 
 // add adds a sample. share is the estimated quantile, in (0, 1), and step the
@@ -29,23 +29,23 @@
 		return
 	}
 	ln := math.Log(x)
-	q.n++
-	if q.n == 1 {
-		q.ln = ln
+	q.samples++
+	if q.samples == 1 {
+		q.logValue = ln
 		return
 	}
-	width := step + initialStep/float64(q.n)
-	if ln > q.ln {
-		q.ln = min(ln, q.ln+width*share)
+	currentStep := step + initialStep/float64(q.samples)
+	if ln > q.logValue {
+		q.logValue = min(ln, q.logValue+currentStep*share)
 	} else {
-		q.ln = max(ln, q.ln-width*(1-share))
+		q.logValue = max(ln, q.logValue-currentStep*(1-share))
 	}
 }
 
 // value returns the quantile; 0 without samples.
 func (q *quantile) value() float64 {
-	if q.n == 0 {
+	if q.samples == 0 {
 		return 0
 	}
-	return math.Exp(q.ln)
+	return math.Exp(q.logValue)
 }
--- a/pace/service.go
+++ b/pace/service.go
@@ -13,7 +13,7 @@
 	spreadQuantile = 0.95
 	// shortQuantile is the share of answers that are shorter than ShortAnswer.
 	shortQuantile = 0.05
-	// minSamples is the number of answers from which ShortAnswer is known.
+	// minSamples is the number of answers below which ShortAnswer is unknown.
 	minSamples = 20
 )
 
@@ -21,21 +21,21 @@
 	// Service holds the estimates of a service: of all its engines together and of
 	// its streams. The zero value has none.
 	Service struct {
-		mu             sync.Mutex
-		interval       quantile // usual event interval without other prefills, ms
-		tokenIntervals quantile // prefill time of a token, in event intervals
-		spread         quantile // of the actual over the expected time to a first event
-		prompt         quantile // tokens
-		loadedInterval quantile // mean event interval of an attempt, with other prefills, ms
-		shortAnswer    quantile // length of a short answer, as a share of the maximum
-		usualAnswer    quantile // length of a usual answer, as a share of the maximum
+		mu              sync.Mutex
+		interval        quantile // usual event interval without other prefills, ms
+		prefillPerToken quantile // prefill time of a token, in event intervals
+		spread          quantile // actual over expected time to a first event
+		prompt          quantile // tokens
+		loadedInterval  quantile // mean event interval of an attempt, with other prefills, ms
+		shortAnswer     quantile // length of a short answer, as a share of the maximum
+		usualAnswer     quantile // length of a usual answer, as a share of the maximum
 	}
 
 	// Pace is a snapshot of a service's estimates. Unknown values are 0.
 	Pace struct {
 		Gap         time.Duration // usual event interval without other prefills
 		Ratio       float64       // prefill time of a token, in event intervals
-		Spread      float64       // actual over expected time of slow first events
+		Spread      float64       // actual over expected time to a first event, at spreadQuantile
 		Prompt      float64       // usual length of a prompt, in tokens
 		Whole       time.Duration // mean event interval of an attempt, with other prefills
 		ShortAnswer float64       // length of a short answer, as a share of the maximum
@@ -60,10 +60,10 @@
 }
 
 // Sent adds the length of a prompt, in tokens.
-func (s *Service) Sent(prompt int) {
+func (s *Service) Sent(promptTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.prompt.add(float64(prompt), 0.5, slowStep)
+	s.prompt.add(float64(promptTokens), 0.5, slowStep)
 }
 
 // First adds the time to a first event at an engine with the given event interval,
@@ -74,7 +74,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tokenIntervals.add((float64(took)/float64(interval)-firstEventIntervals)/float64(tokens), 0.5, slowStep)
+	s.prefillPerToken.add((float64(took)/float64(interval)-firstEventIntervals)/float64(tokens), 0.5, slowStep)
 }
 
 // Waited adds the time until a first event arrived or the attempt was abandoned,
@@ -106,9 +106,9 @@
 func (s *Service) Pace() Pace {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := Pace{Gap: fromMs(s.interval.value()), Ratio: s.tokenIntervals.value(), Spread: s.spread.value(), Prompt: s.prompt.value(), Whole: fromMs(s.loadedInterval.value())}
+	p := Pace{Gap: fromMs(s.interval.value()), Ratio: s.prefillPerToken.value(), Spread: s.spread.value(), Prompt: s.prompt.value(), Whole: fromMs(s.loadedInterval.value())}
 	p.Length = s.usualAnswer.value()
-	if s.shortAnswer.n >= minSamples {
+	if s.shortAnswer.samples >= minSamples {
 		p.ShortAnswer = s.shortAnswer.value()
 	}
 	return p
