--- a/health/health.go
+++ b/health/health.go
@@ -1,6 +1,6 @@
 // Package health tracks the health of targets by what an instance observes of its
 // own calls: refused or silent connections, failed calls and response times. Links
-// tracks packet loss on the way to each zone. The package sends no probes itself.
+// tracks packet loss on the way to each zone. The package opens no connections itself.
 package health
 
 import (
@@ -12,9 +12,10 @@
 )
 
 const (
-	// minEjection is the ejection after a target's first failure; each further one
-	// doubles it up to maxEjection. The next call after an ejection tests the target:
-	// a refused connection costs a few ms and is retried elsewhere.
+	// minEjection is the duration of the ejection after a target's first failure;
+	// each further failure doubles the duration, up to maxEjection. The next call
+	// after an ejection tests the target: a refused connection costs a few ms and the
+	// call is retried elsewhere.
 	minEjection = 800 * time.Millisecond
 	maxEjection = 4 * time.Second
 
@@ -26,12 +27,12 @@
 	// It exceeds the time for which a prefill or two stall an engine's streams.
 	recentContact = 1500 * time.Millisecond
 
-	// errorHalfLife is the time in which the failure rate decays to half, so that a
+	// errorHalfLife is the time in which the error rate decays to half, so that a
 	// target that got no calls because of failures gets some again within seconds.
 	errorHalfLife = 3 * time.Second
-	// errorRateWeight is the weight of one answer in the failure rate.
+	// errorRateWeight is the weight of one answer in the error rate.
 	errorRateWeight = 0.1
-	// latencyWeight is the weight of one answer in the response time.
+	// latencyWeight is the weight of one answer in the latency.
 	latencyWeight = 0.2
 )
 
@@ -47,13 +48,13 @@
 
 	// State is the health of one target. The zero value is healthy.
 	State struct {
-		mu           sync.Mutex
-		ejectedUntil clock.Time
-		failures     int
-		failedAt     clock.Time
-		servedAt     clock.Time // time of the last data or successful answer
-		probing      bool
-		lost         chan struct{} // closed when the target fails; nil until Lost is called
+		mu                  sync.Mutex
+		ejectedUntil        clock.Time
+		consecutiveFailures int
+		failedAt            clock.Time
+		servedAt            clock.Time // time of the last data or successful answer
+		checking            bool
+		lost                chan struct{} // closed when the target fails; nil until Lost is called
 
 		errorRate   float64 // share of failed calls; decays
 		errorRateAt clock.Time
@@ -81,19 +82,19 @@
 	if now < s.ejectedUntil {
 		return s.ejectedUntil.Sub(now)
 	}
-	ejection := min(minEjection<<min(s.failures, 8), maxEjection)
-	s.failures++
+	ejection := min(minEjection<<min(s.consecutiveFailures, 8), maxEjection)
+	s.consecutiveFailures++
 	s.failedAt = now
 	s.ejectedUntil = now.Add(ejection)
 	return ejection
 }
 
-// FailedLately returns the time of the last failure; ok is false if it isn't
-// recent or the target has answered since.
+// FailedLately returns the time of the last failure; ok is false if the failure
+// isn't recent or the target has answered since.
 func (s *State) FailedLately(now clock.Time) (at clock.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failedAt, s.failures > 0 && now.Sub(s.failedAt) < recentFailure
+	return s.failedAt, s.consecutiveFailures > 0 && now.Sub(s.failedAt) < recentFailure
 }
 
 // Heard records that data arrived from the target.
@@ -110,23 +111,23 @@
 	return s.servedAt > s.failedAt && now.Sub(s.servedAt) < recentContact
 }
 
-// BeginProbe starts a probe of the target and reports whether none was in
-// progress. EndProbe must be called after the probe.
+// BeginProbe starts a connection check of the target. It returns false if a check
+// is already in progress; otherwise the caller calls EndProbe after the check.
 func (s *State) BeginProbe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.probing {
+	if s.checking {
 		return false
 	}
-	s.probing = true
+	s.checking = true
 	return true
 }
 
-// EndProbe ends a probe.
+// EndProbe ends a connection check.
 func (s *State) EndProbe() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.probing = false
+	s.checking = false
 }
 
 // Lost returns a channel that is closed when the target fails next.
@@ -139,12 +140,12 @@
 	return s.lost
 }
 
-// Answered records an answer and its response time; failed says that the target
-// answered that it could not serve the call.
+// Answered records an answer and its response time. failed means that the target
+// answered, but could not serve the call.
 func (s *State) Answered(now clock.Time, took time.Duration, failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failures = 0
+	s.consecutiveFailures = 0
 	s.decayErrorRate(now)
 	if failed {
 		s.errorRate += errorRateWeight * (1 - s.errorRate)
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -20,7 +20,7 @@
 		At       float64
 		Failed   bool
 		OK       int // successful answers
-		Failures int // answers that the call could not be served
+		Failures int // answers that say that the target could not serve the call
 		Want     *struct {
 			Usable bool
 			Recent bool
--- a/health/links.go
+++ b/health/links.go
@@ -25,14 +25,14 @@
 	}
 
 	link struct {
-		stalls float64 // weight of the stalls; decays
-		at     clock.Time
+		stalls float64    // weight of the stalls; decays
+		at     clock.Time // time of the last stall
 	}
 )
 
 // Stalled records that events from a zone were delayed and then arrived all at
-// once, as after a retransmission. It reports whether the link starts to count as
-// lossy by this stall.
+// once, as after a retransmission. It returns true if the link counts as lossy from
+// this stall on.
 func (l *Links) Stalled(zone string, now clock.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/health/links_test.go
+++ b/health/links_test.go
@@ -9,8 +9,8 @@
 	"github.com/ragworthitch/ragworthitch/clock"
 )
 
-// Guards against noticing a lossy link late or taking a recovered one, or another
-// one, for lossy.
+// Guards against noticing a lossy link late, and against taking a recovered link or
+// the link to another zone for lossy.
 func TestLinks(t *testing.T) {
 	now := clock.Time(time.Minute)
 	var l Links
