--- a/recall/recall.go
+++ b/recall/recall.go
@@ -26,7 +26,7 @@
 type (
 	// Place is the cache location of a prompt.
 	Place struct {
-		Subject string            // identifies the prompt: its last part
+		Subject string            // last part of the prompt, which identifies the prompt
 		Engine  ragworthitch.Boot // a later boot of the engine has an empty cache
 	}
 
@@ -35,8 +35,8 @@
 	Recall struct {
 		mu        sync.Mutex
 		locations map[string]location
-		updates   []Place // observed by this instance, the newest last
-		recorded  uint64  // number of locations that this instance has observed
+		updates   []Place // the last locations that this instance observed, the newest last
+		observed  uint64  // number of locations that this instance has observed
 	}
 
 	location struct {
@@ -53,7 +53,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.put(p, now)
-	r.recorded++
+	r.observed++
 	r.updates = append(r.updates, p)
 	if len(r.updates) > 2*maxUpdates {
 		r.updates = append([]Place(nil), r.updates[len(r.updates)-maxUpdates:]...)
@@ -77,13 +77,13 @@
 	}
 	for s, known := range r.locations {
 		if now.Sub(known.recordedAt) > maxAge || len(r.locations) > maxLocations {
-			delete(r.locations, s) // expired ones, then any: losing a location costs one prefill
+			delete(r.locations, s) // expired locations, then any others: a lost location costs one prefill
 		}
 	}
 }
 
 // Where returns the engine that was last known to cache a prompt, and whether one
-// is known.
+// such an engine is known.
 func (r *Recall) Where(subject string, now clock.Time) (ragworthitch.Boot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,6 +99,6 @@
 func (r *Recall) Since(n uint64) ([]Place, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	count := int(min(r.recorded-min(n, r.recorded), uint64(len(r.updates)), maxUpdates))
-	return append([]Place(nil), r.updates[len(r.updates)-count:]...), r.recorded
+	count := int(min(r.observed-min(n, r.observed), uint64(len(r.updates)), maxUpdates))
+	return append([]Place(nil), r.updates[len(r.updates)-count:]...), r.observed
 }
--- a/recall/recall_test.go
+++ b/recall/recall_test.go
@@ -48,8 +48,8 @@
 		r.Note(Place{fmt.Sprint(i), engine("e1")}, now)
 		assert.LessOrEqual(t, len(r.locations), maxLocations)
 	}
-	news, n := r.Since(0)
-	assert.Len(t, news, maxUpdates)
+	updates, n := r.Since(0)
+	assert.Len(t, updates, maxUpdates)
 	assert.EqualValues(t, 10*maxLocations, n)
-	assert.Equal(t, fmt.Sprint(10*maxLocations-1), news[maxUpdates-1].Subject)
+	assert.Equal(t, fmt.Sprint(10*maxLocations-1), updates[maxUpdates-1].Subject)
 }
--- a/recall/spans.go
+++ b/recall/spans.go
@@ -28,10 +28,10 @@
 
 	// Span holds the locations of one time range.
 	Span struct {
-		Slot   int // number of its row
-		Places []Place
-		number int64
-		saved  int // number of saved Places
+		Slot        int // number of its row
+		Places      []Place
+		rangeNumber int64 // the range starts at rangeNumber * spanLength
+		saved       int   // number of saved Places
 	}
 )
 
@@ -43,9 +43,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	number := int64(now) / int64(spanLength)
-	if len(s.recent) == 0 || s.recent[len(s.recent)-1].number != number {
-		s.recent = append(s.recent, &Span{number: number, Slot: int(number % int64(Slots))})
-		s.recent = s.recent[max(0, len(s.recent)-Slots):] // older ones have expired
+	if len(s.recent) == 0 || s.recent[len(s.recent)-1].rangeNumber != number {
+		s.recent = append(s.recent, &Span{rangeNumber: number, Slot: int(number % int64(Slots))})
+		s.recent = s.recent[max(0, len(s.recent)-Slots):] // older spans have expired
 	}
 	last := s.recent[len(s.recent)-1]
 	last.Places = append(last.Places, places...)
@@ -60,11 +60,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Span
-	for _, p := range s.recent {
-		if p.saved < len(p.Places) {
-			c := *p
-			c.Places = append([]Place(nil), p.Places...)
-			out = append(out, c)
+	for _, span := range s.recent {
+		if span.saved < len(span.Places) {
+			snapshot := *span
+			snapshot.Places = append([]Place(nil), span.Places...)
+			out = append(out, snapshot)
 		}
 	}
 	return out
@@ -74,10 +74,10 @@
 func (s *Spans) Saved(spans []Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, done := range spans {
-		for _, p := range s.recent {
-			if p.number == done.number {
-				p.saved = max(p.saved, len(done.Places))
+	for _, written := range spans {
+		for _, span := range s.recent {
+			if span.rangeNumber == written.rangeNumber {
+				span.saved = max(span.saved, len(written.Places))
 			}
 		}
 	}
--- a/recall/spans_test.go
+++ b/recall/spans_test.go
@@ -16,7 +16,8 @@
 	return out
 }
 
-// Guards against losing the locations of a failed save, or those added during one.
+// Guards against losing locations after a failed save, and locations added during a
+// save.
 func TestSpans(t *testing.T) {
 	var s Spans
 	assert.Empty(t, s.Unsaved())
