--- a/registry/boots.go
+++ b/registry/boots.go
@@ -26,36 +26,36 @@
 	// serviceZone is a service in an availability zone.
 	serviceZone struct{ service, zone string }
 
-	// endedBoots records which boots of a target id have ended: all that started
-	// before started, and with inclusive also the one that started at that time.
+	// endedBoots records which boots of a target id have ended: all boots with a start
+	// time before started and, if inclusive is set, the boot that started then.
 	endedBoots struct {
 		started   int64
 		inclusive bool
 	}
 
-	// suspicion records the first registration that arrived from a boot which is
-	// recorded as ended.
-	suspicion struct {
+	// lateRegistration is the first registration that arrived from a boot after the
+	// boot had been recorded as ended.
+	lateRegistration struct {
 		boot          ragworthitch.Boot
-		firstSequence int64 // of that registration
-		since         clock.Time
+		firstSequence int64      // sequence number of the registration
+		since         clock.Time // when the registration arrived
 	}
 )
 
 // provesAlive reports whether a registration proves that its boot is alive although
-// it is recorded as ended: the boot writes for longer than delayed writes may arrive
-// and no other boot of its id does. This happens if the target's clock was set back
-// between two starts. r.mu is held.
+// the boot is recorded as ended: the boot has been writing for longer than delayed
+// writes may arrive, and no other boot of its id writes. This happens if the target's
+// clock was set back between two starts. r.mu is held.
 func (r *Registry) provesAlive(t ragworthitch.Target) bool {
 	now := clock.Now()
-	known, ok := r.suspicions[t.ID()]
+	known, ok := r.lateRegistrations[t.ID()]
 	if ok && known.boot == t.Boot() {
 		return t.Sequence() > known.firstSequence && now.Sub(known.since) > maxWriteDelay
 	}
-	if len(r.suspicions) >= maxEndedBoots {
-		clear(r.suspicions)
+	if len(r.lateRegistrations) >= maxEndedBoots {
+		clear(r.lateRegistrations)
 	}
-	r.suspicions[t.ID()] = suspicion{boot: t.Boot(), firstSequence: t.Sequence(), since: now}
+	r.lateRegistrations[t.ID()] = lateRegistration{boot: t.Boot(), firstSequence: t.Sequence(), since: now}
 	return false
 }
 
@@ -112,8 +112,8 @@
 }
 
 // Stale returns the number of recently found stale registrations of a service in a
-// zone. Targets of a zone are replaced together, so its other registrations are
-// probably stale as well while the store is unavailable.
+// zone. Targets of a zone are replaced together, so the zone's other
+// registrations are probably stale as well while the store is unavailable.
 func (r *Registry) Stale(service, zone string, now clock.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -24,7 +24,7 @@
 // Outcomes of Put.
 const (
 	// Ignored: the registration is of an ended boot, precedes the one in which the
-	// boot started to drain, or lacks the start time that earlier ones had.
+	// boot started to drain, or lacks the start time that earlier registrations had.
 	Ignored Outcome = "ignored"
 	// Known: the boot was known, and its registration has been updated.
 	Known Outcome = "known"
@@ -48,7 +48,7 @@
 		byAddr             map[string]*Member // the newest at each address
 		services           map[string][]*Member
 		ended              map[string]endedBoots        // by id
-		suspicions         map[string]suspicion         // by id
+		lateRegistrations  map[string]lateRegistration  // by id
 		staleRegistrations map[serviceZone][]clock.Time // times at which they were found
 
 		busyMu      sync.Mutex
@@ -147,7 +147,7 @@
 		}
 		delete(r.ended, t.ID())
 	}
-	delete(r.suspicions, t.ID())
+	delete(r.lateRegistrations, t.ID())
 	if m != nil && t.Boot() == m.Target().Boot() && t.Address() == m.Target().Address() {
 		return r.update(m, t, maxConns)
 	}
@@ -182,7 +182,7 @@
 	if r.byID == nil {
 		r.byID, r.byAddr = map[string]*Member{}, map[string]*Member{}
 		r.services, r.ended = map[string][]*Member{}, map[string]endedBoots{}
-		r.staleRegistrations, r.suspicions = map[serviceZone][]clock.Time{}, map[string]suspicion{}
+		r.staleRegistrations, r.lateRegistrations = map[serviceZone][]clock.Time{}, map[string]lateRegistration{}
 	}
 }
 
@@ -259,15 +259,16 @@
 }
 
 // Unreadable records that a target's registration can't be decoded: a known target
-// gets no new calls until a valid one arrives. It reports whether the state changed.
+// gets no new calls until a valid registration arrives. It reports whether the
+// registration was readable before.
 func (r *Registry) Unreadable(id string) bool {
 	m := r.ByID(id)
 	return m != nil && m.setUnreadable()
 }
 
-// Vanish records that a target's registration is gone. The target may still get
-// calls until a time, as registrations also lapse while the store is unavailable. A
-// zero until removes it at once.
+// Vanish records that a target's registration is gone. The target may get
+// calls until the given time, as registrations also lapse while the store is
+// unavailable. If until isn't after now, the target is removed at once.
 func (r *Registry) Vanish(id string, now, until clock.Time) {
 	r.mu.RLock()
 	m := r.byID[id]
@@ -286,7 +287,8 @@
 	}
 }
 
-// Expire removes the targets whose registrations are gone and whose time has passed.
+// Expire removes the targets whose grace period after the end of their registration
+// has passed.
 func (r *Registry) Expire(now clock.Time) {
 	r.mu.RLock()
 	var out []*Member
@@ -305,7 +307,8 @@
 
 // removeUnregistered removes a target whose registration is gone. If the boot was
 // draining it is recorded as ended, so that a delayed write doesn't add it again.
-// Without start times the next boot can't be told from it, so it isn't recorded.
+// Without a start time, the boot can't be told from the next boot, so the end isn't
+// recorded.
 func (r *Registry) removeUnregistered(m *Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -19,8 +19,8 @@
 	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: id, Service: "llm", Address: addr, Draining: draining})
 }
 
-// Guards against calls to a crashed target whose registration exists beside its
-// successor's at the same address, or arrives late.
+// Guards against calls to a crashed target whose registration still exists, or
+// arrives, after another target has registered the same address.
 func TestSuccessorAtAnAddress(t *testing.T) {
 	var r Registry
 	r.Put(newTarget("old", "10.0.0.1:80", false), 0)
@@ -78,8 +78,8 @@
 	assert.Equal(t, Load{}, w.All())
 }
 
-// Guards against an engine that is several targets because it serves several models.
-func TestSeveralServices(t *testing.T) {
+// Guards against counting an engine that serves several models as several targets.
+func TestTargetWithSeveralServices(t *testing.T) {
 	var r Registry
 	r.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: "planner", Others: []string{"summary"}, Address: "10.0.0.1:80"}), 0)
 	r.Put(newTarget("b", "10.0.0.2:80", false), 0)
@@ -97,7 +97,8 @@
 }
 
 // Guards against taking load, health or connections of an earlier boot for those of
-// the next one under the same id, and against waiting for attempts at the earlier.
+// the next one under the same id, and against waiting for attempts at the
+// earlier boot.
 func TestRestartUnderOneID(t *testing.T) {
 	var r Registry
 	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 100), 10))
@@ -125,7 +126,7 @@
 }
 
 // Guards against rejecting the next boot under the id of an ended one.
-func TestRefusedBarsOneBoot(t *testing.T) {
+func TestRefusedEndsOneBoot(t *testing.T) {
 	var r Registry
 	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
 	r.Refused(ragworthitch.NewBoot("a", 100), now)
@@ -148,7 +149,7 @@
 
 // Guards against new calls to a target whose registration can't be decoded or comes
 // from another writer.
-func TestUnreadableEntry(t *testing.T) {
+func TestUnreadableRegistration(t *testing.T) {
 	var r Registry
 	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
 	r.Put(newBoot("b", "10.0.0.2:80", 100), 0)
@@ -167,8 +168,8 @@
 	assert.True(t, r.ByID("b").Takes(now))
 }
 
-// Guards against unbounded memory for ended boots, and against evicting those of
-// known targets.
+// Guards against unbounded memory for ended boots, and against evicting the ended
+// boots of known targets.
 func TestEndedBounded(t *testing.T) {
 	var r Registry
 	r.Put(newBoot("live", "10.0.0.1:80", 100), 0)
--- a/registry/work.go
+++ b/registry/work.go
@@ -7,8 +7,8 @@
 type (
 	// Load is the outstanding work at a target.
 	Load struct {
-		Prefill int // prompt tokens of calls without a first event yet
-		Later   int // the same for calls that yield to others at the engine
+		Prefill int // prompt tokens of calls without a first event, except those in Later
+		Later   int // prompt tokens of calls without a first event whose prefill yields to others
 		Running int // calls in progress
 		Tokens  int // memory of calls and replicas, in tokens
 	}
@@ -18,7 +18,7 @@
 	Work struct {
 		mu       sync.Mutex
 		own      Load
-		peers    map[string]Load // as reported, by instance
+		peers    map[string]Load // last reports, by instance
 		onChange func(busy bool) // called after every change of own; may be nil
 	}
 )
@@ -43,9 +43,9 @@
 
 func (w *Work) begin(prefill Load, tokens int) (started, end func()) {
 	w.change(prefill.add(Load{Running: 1, Tokens: tokens}))
-	prefilled := Load{Prefill: -prefill.Prefill, Later: -prefill.Later}
+	prefillDone := Load{Prefill: -prefill.Prefill, Later: -prefill.Later}
 	var once sync.Once
-	started = func() { once.Do(func() { w.change(prefilled) }) }
+	started = func() { once.Do(func() { w.change(prefillDone) }) }
 	return started, func() {
 		started()
 		w.change(Load{Running: -1, Tokens: -tokens})
