--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,7 @@
 // Package clock reads the clock for ages and timeouts: the time since the machine's
 // boot, including suspension. The time of day may jump, and Go's monotonic clock
-// stops while a machine is suspended, so a revoked key would still look fresh.
+// stops while a machine is suspended, so that a revoked key would be accepted for
+// too long.
 package clock
 
 import (
