--- a/desired/book.go
+++ b/desired/book.go
@@ -86,11 +86,11 @@
 // Age returns how long ago the state was verified to be the newest; ok is false if
 // it never was.
 func (b *Book) Age(now clock.Time) (age time.Duration, ok bool) {
-	p := b.verifiedAt.Load()
-	if p == 0 || b.current.Load() == nil {
+	verifiedAt := b.verifiedAt.Load()
+	if verifiedAt == 0 || b.current.Load() == nil {
 		return 0, false
 	}
-	return now.Sub(clock.Time(p)), true
+	return now.Sub(clock.Time(verifiedAt)), true
 }
 
 // State returns the applied state, or nil if there is none.
@@ -113,7 +113,7 @@
 	g := Grant{Version: t.state.Version(), Age: age}
 	g.Route = t.route(host, path)
 	if g.Route == nil {
-		return g, b.denial(age, ErrNoRoute)
+		return g, b.rejection(age, ErrNoRoute)
 	}
 	g.Priority = g.Route.Priority()
 	if t.keysRequired && !g.Route.Public() {
@@ -122,7 +122,7 @@
 		}
 		org := t.orgsByKey[key]
 		if org == nil {
-			return g, b.denial(age, ErrNoKey)
+			return g, b.rejection(age, ErrNoKey)
 		}
 		g.Org = org.Name()
 		if org.Priority() >= 0 {
@@ -137,9 +137,9 @@
 	return g, nil
 }
 
-// denial returns err, or ErrStateUnknown if the verification is too old for a final
-// rejection, as a newer version may allow the call.
-func (b *Book) denial(age time.Duration, err error) error {
+// rejection returns err, or ErrStateUnknown if the verification is too old for a final
+// rejection: a newer version may allow the call.
+func (b *Book) rejection(age time.Duration, err error) error {
 	if age > b.ages.Deny {
 		return ErrStateUnknown
 	}
--- a/desired/book_test.go
+++ b/desired/book_test.go
@@ -97,38 +97,38 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		m := newBookModel(t, rng)
+		m := newStoreModel(t, rng)
 		for range 400 {
 			m.step()
 		}
 	})
 }
 
-// bookModel is the environment of a book: the newest state in the store, the
-// revoked keys, and reads in progress.
-type bookModel struct {
+// storeModel models the store that the desired state is read from: the newest state,
+// the revoked keys, and reads in progress.
+type storeModel struct {
 	t             testing.TB
 	rng           *rand.Rand
 	book          *Book
 	now           clock.Time
 	state         stateSpec
 	revokedAt     map[string]clock.Time // by key
-	pendingReads  []bookRead
+	pendingReads  []pendingRead
 	newestVersion int64
 }
 
-// bookRead is a read in progress, with the newest state at its start.
-type bookRead struct {
+// pendingRead is a read in progress; state was the newest at its start.
+type pendingRead struct {
 	startedAt clock.Time
 	state     stateSpec
 }
 
-func newBookModel(t testing.TB, rng *rand.Rand) *bookModel {
-	return &bookModel{t: t, rng: rng, book: NewBook(testAges), now: at(1), revokedAt: map[string]clock.Time{},
+func newStoreModel(t testing.TB, rng *rand.Rand) *storeModel {
+	return &storeModel{t: t, rng: rng, book: NewBook(testAges), now: at(1), revokedAt: map[string]clock.Time{},
 		state: stateSpec{Version: 1, Routes: []string{"a.example/x/"}, Keys: map[string]string{"k0": "o0", "k1": "o1", "k2": "o2"}}}
 }
 
-func (m *bookModel) step() {
+func (m *storeModel) step() {
 	switch m.rng.IntN(6) {
 	case 0: // time passes, sometimes for long as on a suspended machine
 		d := time.Duration(m.rng.IntN(300)) * time.Millisecond
@@ -139,7 +139,7 @@
 	case 1:
 		m.change()
 	case 2: // a read of the newest state starts
-		m.pendingReads = append(m.pendingReads, bookRead{startedAt: m.now, state: m.state})
+		m.pendingReads = append(m.pendingReads, pendingRead{startedAt: m.now, state: m.state})
 	case 3, 4: // a read ends, in any order, or fails
 		m.endRead()
 	case 5:
@@ -147,7 +147,7 @@
 	}
 }
 
-func (m *bookModel) change() {
+func (m *storeModel) change() {
 	keys := map[string]string{}
 	for k, o := range m.state.Keys {
 		keys[k] = o
@@ -164,7 +164,7 @@
 	m.state = stateSpec{Version: m.state.Version + 1 + m.rng.Int64N(3), Routes: m.state.Routes, Keys: keys}
 }
 
-func (m *bookModel) endRead() {
+func (m *storeModel) endRead() {
 	if len(m.pendingReads) == 0 {
 		return
 	}
@@ -178,7 +178,7 @@
 	m.book.Proved(r.startedAt)
 }
 
-func (m *bookModel) call() {
+func (m *storeModel) call() {
 	k := []string{"k0", "k1", "k2"}[m.rng.IntN(3)]
 	g, err := m.book.Judge(m.now, "a.example", "/x/1", k, 0)
 	if g.Version != 0 {
