--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -90,7 +90,7 @@
 	assert.Equal(t, []int{10, 20, 40}, s.rows)
 }
 
-// Missed changes cause a read of the whole table. A failed call is repeated, and the
+// Missed changes cause a read of the whole table. A failed call is retried, and the
 // sink learns that the store was unavailable.
 func TestRecoversFromFailures(t *testing.T) {
 	s := follow(t, failsWith(errUnavailable), returns(1, 10), failsWith(ErrMissed), returns(9, 11, 12), failsWith(errUnavailable), returns(10, 13))
--- a/discovery/sinks.go
+++ b/discovery/sinks.go
@@ -29,7 +29,7 @@
 		Unreadable bool
 	}
 
-	// PeerEntry is the entry of another entry instance, or its removal.
+	// PeerEntry is the entry of a peer in the store, or its removal.
 	PeerEntry struct {
 		Peer exchange.Peer
 		Gone bool
