--- a/instance/crashes.go
+++ b/instance/crashes.go
@@ -15,7 +15,7 @@
 	// but not to those that start later.
 	crashWriteTimeout    = 400 * time.Millisecond
 	crashRetryDelay      = 200 * time.Millisecond
-	maxCrashBatch        = 20
+	maxCrashBatch        = 20 // edits in one write
 	crashCleanupInterval = time.Minute
 )
 
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// batchSize returns the number of leading edits to write in one call: either writes or
+// batchSize returns the number of leading edits to write in one call: only writes or only
 // deletions, since a row may not be written and deleted in the same call.
 func batchSize(edits []poison.Edit) int {
 	n := 0
--- a/instance/follow.go
+++ b/instance/follow.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// A call waits for a new desired state for desiredWaitFraction of the time
-	// within which a revoked key has to be rejected, and at most for
+	// A call to the store waits for a new desired state for desiredWaitFraction of
+	// the time within which a revoked key has to be rejected, and at most for
 	// maxDesiredWait. The state that keys are checked against is up to two waits
-	// old: that of the last call and that of the call in progress.
+	// old: the wait of the last call and the wait of the call in progress.
 	maxDesiredWait      = 800 * time.Millisecond
 	desiredWaitFraction = 0.16
 	// targetPollInterval batches the targets' heartbeats: each target writes its
--- a/instance/locations.go
+++ b/instance/locations.go
@@ -24,14 +24,14 @@
 )
 
 // locationBuffer holds the cache locations that this instance has to write to the
-// store: its own, unless a peer takes these over, and those that peers hand over. It is
-// a relay.Notes.
+// store: its own, unless a peer takes these over, and those that peers hand over. It
+// implements relay.Notes.
 type locationBuffer struct {
 	recall *recall.Recall
 	spans  recall.Spans
 
 	mu             sync.Mutex
-	handedOver     uint64     // number of own locations that this instance or a peer writes
+	assigned       uint64     // number of own locations that this instance or a peer has undertaken to write
 	handedOverAt   clock.Time // when a peer last took own locations
 	peerReceivedAt clock.Time // when a peer last handed locations over
 }
@@ -40,9 +40,9 @@
 // locations so far.
 func (b *locationBuffer) Fresh() ([]wire.Place, uint64) {
 	b.mu.Lock()
-	handedOver := b.handedOver
+	assigned := b.assigned
 	b.mu.Unlock()
-	fresh, total := b.recall.Since(handedOver)
+	fresh, total := b.recall.Since(assigned)
 	out := make([]wire.Place, 0, len(fresh))
 	for _, p := range fresh {
 		out = append(out, wire.Place{Subject: p.Subject, Engine: p.Engine})
@@ -54,7 +54,7 @@
 func (b *locationBuffer) Taken(total uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.handedOver, b.handedOverAt = max(b.handedOver, total), clock.Now()
+	b.assigned, b.handedOverAt = max(b.assigned, total), clock.Now()
 }
 
 // addFromPeer adds locations that a peer hands over.
@@ -83,9 +83,9 @@
 	if b.handedOverAt != 0 && now.Sub(b.handedOverAt) < handoverTTL {
 		return
 	}
-	fresh, total := b.recall.Since(b.handedOver)
+	fresh, total := b.recall.Since(b.assigned)
 	b.spans.Add(fresh, now)
-	b.handedOver = total
+	b.assigned = total
 }
 
 func (b *locationBuffer) saveDelay(now clock.Time) time.Duration {
