--- a/settings/settings.go
+++ b/settings/settings.go
@@ -71,21 +71,21 @@
 
 	// Timeouts are in milliseconds, except RetryAfterS in seconds.
 	Timeouts struct {
-		StallMs     int `yaml:"stallMs"`
-		HeartbeatMs int `yaml:"heartbeatMs"`
-		LeaseMs     int `yaml:"leaseMs"`
-		ShortMs     int `yaml:"shortMs"`
-		RetryAfterS int `yaml:"retryAfterS"`
-		RefreshMs   int `yaml:"refreshMs"`
-		DrainMs     int `yaml:"drainMs"`
+		StallMs     int `yaml:"stallMs"`     // time without a token after which an attempt is abandoned
+		HeartbeatMs int `yaml:"heartbeatMs"` // interval at which an agent renews its lease
+		LeaseMs     int `yaml:"leaseMs"`     // time after which a lease that isn't renewed expires
+		ShortMs     int `yaml:"shortMs"`     // deadline of a short call
+		RetryAfterS int `yaml:"retryAfterS"` // retry delay in error responses
+		RefreshMs   int `yaml:"refreshMs"`   // interval at which an entry instance rereads the targets
+		DrainMs     int `yaml:"drainMs"`     // time after which a draining agent moves its running calls to other targets
 	}
 
 	// Engine configures the emulated engines.
 	Engine struct {
-		StepMs      int `yaml:"stepMs"`
-		Batch       int `yaml:"batch"`
-		CacheBlocks int `yaml:"cacheBlocks"`
-		LoadLagMs   int `yaml:"loadLagMs"`
+		StepMs      int `yaml:"stepMs"`      // duration of a decode step of the batch
+		Batch       int `yaml:"batch"`       // sequences that are decoded together
+		CacheBlocks int `yaml:"cacheBlocks"` // size of the prefix cache, in prompts
+		LoadLagMs   int `yaml:"loadLagMs"`   // age of the load reports
 	}
 
 	// Model is a model with the versions that are served.
