--- a/wire/loan.go
+++ b/wire/loan.go
@@ -12,14 +12,15 @@
 const LoanPath = "/v1/loan"
 
 const (
-	// maxLoan bounds a frame in bytes, and maxRetries the retries of a loan.
-	maxLoan    = 1 << 10
-	maxRetries = 64
+	// maxLoanFrame bounds a frame in bytes, and maxLoanRetries the retries in it.
+	maxLoanFrame   = 1 << 10
+	maxLoanRetries = 64
 )
 
 type (
-	// Loan is a request for retries out of a peer's retry budget for a service, or
-	// the number that the peer grants. A connection carries one request at a time.
+	// Loan is a message that asks for retries out of a peer's retry budget for a
+	// service, or the peer's answer with the number of retries that it grants. A
+	// connection carries one request at a time.
 	Loan struct {
 		Service string
 		Repeats int
@@ -43,7 +44,7 @@
 	if err := cbor.Unmarshal(b, &f); err != nil {
 		return Loan{}, fmt.Errorf("%w: %v", ErrBadFrame, err)
 	}
-	if f.N < 0 || f.N > maxRetries {
+	if f.N < 0 || f.N > maxLoanRetries {
 		return Loan{}, fmt.Errorf("%w: loan of %d retries", ErrBadFrame, f.N)
 	}
 	return Loan{Service: f.S, Repeats: f.N}, nil
@@ -51,12 +52,12 @@
 
 // DialLoan connects to the instance at addr (host:port) to borrow retries.
 func DialLoan(ctx context.Context, addr string) (*Conn, error) {
-	return dial(ctx, addr, LoanPath, maxLoan)
+	return dial(ctx, addr, LoanPath, maxLoanFrame)
 }
 
 // AcceptLoan accepts a connection of a peer that borrows retries.
 func AcceptLoan(w http.ResponseWriter, r *http.Request) (*Conn, error) {
-	return accept(w, r, maxLoan)
+	return accept(w, r, maxLoanFrame)
 }
 
 // Borrow asks for a loan and returns how many retries are granted. After an error the
--- a/wire/loan_test.go
+++ b/wire/loan_test.go
@@ -10,7 +10,7 @@
 // DecodeLoan never panics on arbitrary frames, and a decoded loan is within bounds and
 // encodes to an equal one.
 func FuzzLoan(f *testing.F) {
-	for _, l := range []Loan{{}, {Service: "llm", Repeats: 4}, {Service: "llm", Repeats: -1}, {Repeats: maxRetries + 1}} {
+	for _, l := range []Loan{{}, {Service: "llm", Repeats: 4}, {Service: "llm", Repeats: -1}, {Repeats: maxLoanRetries + 1}} {
 		b, _ := EncodeLoan(l)
 		f.Add(b)
 	}
@@ -21,7 +21,7 @@
 			return
 		}
 		assert.GreaterOrEqual(t, l.Repeats, 0)
-		assert.LessOrEqual(t, l.Repeats, maxRetries)
+		assert.LessOrEqual(t, l.Repeats, maxLoanRetries)
 		again, err := EncodeLoan(l)
 		require.NoError(t, err)
 		got, err := DecodeLoan(again)
--- a/wire/table.go
+++ b/wire/table.go
@@ -14,9 +14,9 @@
 const TablePath = "/v1/table"
 
 const (
-	// maxQuestion and maxAnswer bound frames in bytes.
-	maxQuestion = 64 << 10
-	maxAnswer   = 8 << 20
+	// maxQuestionFrame and maxAnswerFrame bound frames in bytes.
+	maxQuestionFrame = 64 << 10
+	maxAnswerFrame   = 8 << 20
 	// maxWait bounds the wait of a question, and maxAge the age of an answer's
 	// times. Values beyond them are errors of the sender.
 	maxWait = 30 * time.Second
@@ -48,9 +48,9 @@
 		Whole     bool          // all rows; otherwise the rows changed after a version
 		After     int64         // the version
 		Wait      time.Duration // how long to wait for changes
-		WantsAsOf bool          // answer also when only the answer's AsOf has advanced
-		// CacheLocations holds those that the asking instance has recorded since its
-		// last question. The peer writes them to the store.
+		WantsAsOf bool          // end the wait also when only the answer's AsOf has advanced
+		// CacheLocations holds the cache locations that the asking instance has recorded
+		// since its last question. The peer writes them to the store.
 		CacheLocations []Place
 	}
 
@@ -154,12 +154,12 @@
 
 // DialTable connects to the instance at addr (host:port) to ask for tables.
 func DialTable(ctx context.Context, addr string) (*Conn, error) {
-	return dial(ctx, addr, TablePath, maxAnswer)
+	return dial(ctx, addr, TablePath, maxAnswerFrame)
 }
 
 // AcceptTable accepts a connection of a peer that asks for tables.
 func AcceptTable(w http.ResponseWriter, r *http.Request) (*Conn, error) {
-	return accept(w, r, maxQuestion)
+	return accept(w, r, maxQuestionFrame)
 }
 
 // Ask sends a question and waits for its answer. After an error the connection
--- a/wire/view.go
+++ b/wire/view.go
@@ -16,14 +16,14 @@
 // the path rises when the frames change incompatibly.
 const ViewPath = "/v2/view"
 
-// maxView bounds a frame in bytes; a thousand targets fit.
-const maxView = 128 << 10
+// maxViewFrame bounds a frame in bytes; a thousand targets fit.
+const maxViewFrame = 128 << 10
 
 type (
 	// View reports the load of an entry instance at the targets, as changes since
 	// its last view on the same connection. Views are not answered.
 	View struct {
-		Node           string
+		Node           string // name of the instance
 		Loads          []TargetLoad
 		CacheLocations []Place
 		Crashes        []poison.Death
@@ -31,7 +31,7 @@
 
 	// Place is a cache location: the engine that holds a prompt's KV cache.
 	Place struct {
-		Subject string // the last part of the prompt
+		Subject string // identifies the prompt: its last part
 		Engine  ragworthitch.Boot
 	}
 
@@ -40,7 +40,7 @@
 	TargetLoad struct {
 		Target  ragworthitch.Boot
 		Prefill int // prompt tokens whose prefill has not ended
-		Later   int // the same for calls that yield to others at the target
+		Later   int // the same for calls whose prefill yields to others at the target
 		Running int // calls in progress
 		Tokens  int // KV cache of the instance's calls and replicas, in tokens
 		// EventInterval is the event interval of streams at the target, as the instance
@@ -152,12 +152,12 @@
 
 // DialView connects to the instance at addr (host:port) to send it views.
 func DialView(ctx context.Context, addr string) (*Conn, error) {
-	return dial(ctx, addr, ViewPath, maxView)
+	return dial(ctx, addr, ViewPath, maxViewFrame)
 }
 
 // AcceptView accepts a connection of a peer that sends its views.
 func AcceptView(w http.ResponseWriter, r *http.Request) (*Conn, error) {
-	return accept(w, r, maxView)
+	return accept(w, r, maxViewFrame)
 }
 
 // SendView writes a view.
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -40,8 +40,8 @@
 // Path is where an agent accepts connections of entry instances.
 const Path = "/v1/wire"
 
-// maxFrame bounds a message in bytes; a prefix of MaxTokens fits.
-const maxFrame = 4 << 20
+// maxMessageFrame bounds a message in bytes; a prefix of MaxTokens fits.
+const maxMessageFrame = 4 << 20
 
 var (
 	// ErrClosed is returned when a connection cannot be opened or has failed.
@@ -182,10 +182,14 @@
 }
 
 // Dial connects to the agent at addr (host:port).
-func Dial(ctx context.Context, addr string) (*Conn, error) { return dial(ctx, addr, Path, maxFrame) }
+func Dial(ctx context.Context, addr string) (*Conn, error) {
+	return dial(ctx, addr, Path, maxMessageFrame)
+}
 
 // Accept upgrades an HTTP request to a protocol connection.
-func Accept(w http.ResponseWriter, r *http.Request) (*Conn, error) { return accept(w, r, maxFrame) }
+func Accept(w http.ResponseWriter, r *http.Request) (*Conn, error) {
+	return accept(w, r, maxMessageFrame)
+}
 
 func dial(ctx context.Context, addr, path string, limit int64) (*Conn, error) {
 	ws, _, err := websocket.Dial(ctx, "ws://"+addr+path, nil)
