--- a/logs/bounded.go
+++ b/logs/bounded.go
@@ -31,15 +31,15 @@
 	dropped atomic.Int64
 	onDrop  func()
 
-	mu       sync.Mutex
-	second   int64
-	accepted int
+	mu              sync.Mutex
+	second          int64
+	linesThisSecond int
 }
 
 // Bounded returns a writer that never blocks and passes a bounded number of
 // lines a second to w. After dropped lines it writes a line with their count. It
-// calls count, unless nil, for each dropped line. flush closes the writer and
-// waits a short time for pending lines.
+// calls onDrop, unless nil, for each dropped line. flush closes the writer and
+// waits up to flushTimeout for pending lines.
 func Bounded(w io.Writer, onDrop func()) (out io.Writer, flush func()) {
 	if onDrop == nil {
 		onDrop = func() {}
@@ -75,10 +75,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now := time.Now().Unix(); now != b.second {
-		b.second, b.accepted = now, 0
+		b.second, b.linesThisSecond = now, 0
 	}
-	b.accepted++
-	if b.accepted > maxLinesPerSecond || b.lines == nil || b.accepted > maxInfoLinesPerSecond && isInfo(line) {
+	b.linesThisSecond++
+	if b.linesThisSecond > maxLinesPerSecond || b.lines == nil || b.linesThisSecond > maxInfoLinesPerSecond && isInfo(line) {
 		b.drop()
 		return len(line), nil
 	}
--- a/logs/story.go
+++ b/logs/story.go
@@ -32,12 +32,14 @@
 	fields          string // other fields as NAME=VALUE, sorted
 }
 
-// Story writes the log lines that concern a request, ordered by time: the
-// request's own lines, marked with "*"; changes in the meantime, at the processes
-// that served the request, of the state of its targets, of the desired state and
-// of the store; and all lines on crashes of targets that ran the request. It
-// returns the number of the request's own lines, and skips text before the JSON
-// of a line.
+// Story writes the log lines that concern a request, ordered by time, and returns
+// the number of the request's own lines:
+//   - the request's own lines, marked with "*"
+//   - changes of process state (see statePrefixes) while the request ran, as logged
+//     by the processes that served it
+//   - all lines on crashes of targets that ran the request
+//
+// Text before the JSON of a line is skipped.
 func Story(w io.Writer, request string, paths []string) (int, error) {
 	all, err := readRecords(paths)
 	if err != nil {
@@ -65,17 +67,17 @@
 		if !isOwn && !isState && !isCrash {
 			continue
 		}
-		mark := " "
+		marker := " "
 		if isOwn {
-			mark = "*"
+			marker = "*"
 		}
-		r.write(bw, mark)
+		r.write(bw, marker)
 	}
 	return len(own), bw.Flush()
 }
 
-func (r record) write(w io.Writer, mark string) {
-	fmt.Fprintf(w, "%s %s %s %s | %s\n", r.time, mark, r.process, r.message, r.fields)
+func (r record) write(w io.Writer, marker string) {
+	fmt.Fprintf(w, "%s %s %s %s | %s\n", r.time, marker, r.process, r.message, r.fields)
 }
 
 // OfTarget writes the lines of all processes on a target, ordered by time, and
@@ -96,7 +98,7 @@
 	return n, bw.Flush()
 }
 
-// earlier returns the timestamp d earlier than at, or at if it is malformed.
+// earlier returns the timestamp that is d before at, or at itself if it is malformed.
 func earlier(at string, d time.Duration) string {
 	t, err := time.Parse(TimeFormat, at)
 	if err != nil {
