--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -23,7 +23,7 @@
 		gauges   map[string]float64
 		timers   map[string]*timer
 
-		histograms map[bucket]int64
+		histograms map[bucket]int64 // number of samples
 	}
 
 	timer struct {
