--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -59,7 +59,7 @@
 
 		mu     sync.Mutex
 		idle   []*conn // most recently used last
-		open   int
+		open   int     // connections, idle or in use
 		closed bool
 	}
 
@@ -81,12 +81,12 @@
 	socketKey struct{}
 
 	// body is a response body whose Close returns the connection to its pool if
-	// the body was read to its end, and closes the connection otherwise.
+	// the body is complete, and closes the connection otherwise.
 	body struct {
 		io.ReadCloser
-		pooled   *conn
-		complete bool
-		released bool
+		poolConn *conn
+		complete bool // read to its end
+		closed   bool
 	}
 )
 
@@ -148,16 +148,16 @@
 		return nil, fmt.Errorf("%w: %v", ErrSent, err)
 	}
 	c.maxIdle = maxIdleTimeOf(resp.Header)
-	resp.Body = &body{ReadCloser: resp.Body, pooled: c}
+	resp.Body = &body{ReadCloser: resp.Body, poolConn: c}
 	return resp, nil
 }
 
 // Discard closes the connection of a response that does not belong to the
 // request sent on it.
 func Discard(resp *http.Response) {
-	if b, ok := resp.Body.(*body); ok && !b.released {
-		b.released = true
-		b.pooled.close()
+	if b, ok := resp.Body.(*body); ok && !b.closed {
+		b.closed = true
+		b.poolConn.close()
 	}
 }
 
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	p.release(c)
+	p.putIdle(c)
 	return nil
 }
 
@@ -191,6 +191,7 @@
 	}
 }
 
+// acquire returns an idle connection, or a new one if there is none.
 func (p *Pool) acquire(ctx context.Context) (*conn, error) {
 	now := clock.Now()
 	p.mu.Lock()
@@ -208,11 +209,12 @@
 	return p.connect(ctx)
 }
 
+// connect opens a connection, unless the limit is reached.
 func (p *Pool) connect(ctx context.Context) (*conn, error) {
 	p.mu.Lock()
 	if p.max > 0 && p.open >= p.max {
 		p.mu.Unlock()
-		return nil, fmt.Errorf("%w: %d connections open to %s", ErrNotSent, p.max, p.addr)
+		return nil, fmt.Errorf("%w: limit of %d connections to %s reached", ErrNotSent, p.max, p.addr)
 	}
 	p.open++
 	p.mu.Unlock()
@@ -229,7 +231,9 @@
 	return &conn{pool: p, http: hc, sock: sock, maxIdle: defaultIdleTime}, nil
 }
 
-func (p *Pool) release(c *conn) {
+// putIdle keeps a connection for the next request, or closes it if the connection has
+// failed or the pool is closed.
+func (p *Pool) putIdle(c *conn) {
 	c.idleSince = clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,16 +261,16 @@
 }
 
 func (b *body) Close() error {
-	if b.released {
+	if b.closed {
 		return nil
 	}
-	b.released = true
+	b.closed = true
 	if !b.complete {
-		b.pooled.close()
+		b.poolConn.close()
 		return nil
 	}
 	err := b.ReadCloser.Close()
-	b.pooled.pool.release(b.pooled)
+	b.poolConn.pool.putIdle(b.poolConn)
 	return err
 }
 
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -35,6 +35,8 @@
 	return string(b), err
 }
 
+// serve starts a server, and returns a pool for it and the number of connections that
+// it has accepted.
 func serve(t *testing.T, h http.HandlerFunc) (*Pool, *atomic.Int64) {
 	var conns atomic.Int64
 	srv := httptest.NewUnstartedServer(h)
