--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -32,9 +32,9 @@
 	pollInterval = 50 * time.Millisecond
 	// minViewInterval is the least time between two views on a connection.
 	minViewInterval = 4 * time.Millisecond
-	// minIntervalChange is the relative change of an event interval that is
-	// reported. Smaller changes don't affect the choice of a target.
-	minIntervalChange = 0.2
+	// minEventIntervalChange is the least relative change of an event interval that
+	// is reported. Smaller changes don't affect the choice of a target.
+	minEventIntervalChange = 0.2
 	// maxViewInterval is the longest time between two views on a connection. After
 	// viewTimeout without a view, the peer's load counts as zero.
 	maxViewInterval = 1 * time.Second
@@ -44,14 +44,15 @@
 	sendTimeout = 500 * time.Millisecond
 	redialDelay = 300 * time.Millisecond
 	// giveUpTime is how long an instance tries to connect to a peer before it
-	// forgets the peer, until the table of instances names that peer again.
+	// forgets the peer. It connects again when the table of instances next lists the
+	// peer.
 	giveUpTime = 60 * time.Second
 )
 
 type (
 	// Exchange sends and receives views. Create it with New.
 	Exchange struct {
-		node           string
+		node           string // name of this instance
 		zone           string
 		targets        *registry.Registry
 		cacheLocations *recall.Recall
@@ -74,7 +75,7 @@
 		CloseNow() error
 	}
 
-	// report is what a peer was sent about a target.
+	// report holds what a peer is sent about the load of this instance at a target.
 	report struct {
 		load          registry.Load
 		eventInterval time.Duration // of streams there; 0: unknown
@@ -193,13 +194,13 @@
 			current[b] = report{}
 		}
 	}
-	for b, n := range current {
-		if !n.differsFrom(sent[b]) {
+	for b, r := range current {
+		if !r.differsFrom(sent[b]) {
 			continue
 		}
-		l := n.load
-		v.Loads = append(v.Loads, wire.TargetLoad{Target: b, Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens, EventInterval: n.eventInterval})
-		sent[b] = n
+		l := r.load
+		v.Loads = append(v.Loads, wire.TargetLoad{Target: b, Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens, EventInterval: r.eventInterval})
+		sent[b] = r
 		if l == (registry.Load{}) {
 			delete(sent, b)
 		}
@@ -207,14 +208,15 @@
 	return v
 }
 
-// differsFrom reports whether a peer that was sent the report before has to be sent
-// n: if the load differs, or the event interval differs by minIntervalChange.
-func (n report) differsFrom(before report) bool {
-	if n.load != before.load {
+// differsFrom reports whether r is worth sending to a peer that has the previous
+// report: the load differs, or the event interval is known and has changed by more
+// than minEventIntervalChange.
+func (r report) differsFrom(previous report) bool {
+	if r.load != previous.load {
 		return true
 	}
-	change := float64(n.eventInterval - before.eventInterval)
-	return n.eventInterval != 0 && math.Abs(change) > minIntervalChange*float64(before.eventInterval)
+	change := float64(r.eventInterval - previous.eventInterval)
+	return r.eventInterval != 0 && math.Abs(change) > minEventIntervalChange*float64(previous.eventInterval)
 }
 
 // cacheLocationsSince returns the cache locations that this instance has recorded
@@ -289,11 +291,11 @@
 
 // applyCrashes records crashes that a peer reports, and forwards those that are new.
 func (e *Exchange) applyCrashes(crashes []poison.Death, now clock.Time) {
-	isNew := false
+	anyNew := false
 	for _, d := range crashes {
-		isNew = e.crashes.Died(d, poison.SourcePeer, now) || isNew
+		anyNew = e.crashes.Died(d, poison.SourcePeer, now) || anyNew
 	}
-	if isNew {
+	if anyNew {
 		e.Tell()
 	}
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -22,7 +22,7 @@
 
 const within = 2 * time.Second
 
-type node struct {
+type instance struct {
 	targets        registry.Registry
 	cacheLocations recall.Recall
 	crashes        poison.Book
@@ -32,8 +32,8 @@
 	srv            *httptest.Server
 }
 
-func start(t *testing.T, name string) *node {
-	n := &node{}
+func start(t *testing.T, name string) *instance {
+	n := &instance{}
 	n.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}), 0)
 	n.ex = exchange.New(name, "ate", &n.targets, &n.cacheLocations, &n.crashes, zerolog.Nop())
 	ctx, stop := context.WithCancel(context.Background())
--- a/exchange/internal_test.go
+++ b/exchange/internal_test.go
@@ -49,8 +49,8 @@
 	assert.GreaterOrEqual(t, kept, maxPeers-3)
 }
 
-// BenchmarkView measures what a change costs for each connection: finding the changed
-// loads and encoding the frame.
+// BenchmarkView measures the cost of a change of load for each connection: finding the
+// changed loads and encoding the frame.
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{24, 740} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -14,16 +14,16 @@
 	// maxPeers is the number of peers that an instance sends views to. The limit
 	// keeps the CPU time for views constant in large deployments.
 	maxPeers = 24
-	// otherZonePeers of them are kept for other zones, so that forwarded reports
-	// cross zones.
+	// otherZonePeers is how many of maxPeers are reserved for other zones, so that
+	// forwarded reports cross zones.
 	otherZonePeers = 4
 )
 
 // Peer is another entry instance, as listed in the table of instances.
 type Peer struct {
-	Node string
+	Node string // name of the instance
 	Zone string
-	Addr string // host:port of its views
+	Addr string // host:port where it accepts connections of peers
 }
 
 // Know adds a peer or updates its address. With gone it removes the peer.
@@ -56,8 +56,8 @@
 }
 
 // Entries returns the number of entry instances, with this one, and the time up to
-// which that is known to be complete. ok is false if the table of instances was not
-// read yet. Entries is a budget.Entries.
+// which the table of instances is known to be complete. ok is false if the table was
+// not read yet. Entries is a budget.Entries.
 func (e *Exchange) Entries() (n int, at clock.Time, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,7 +87,7 @@
 }
 
 // selectPeers returns the peers to send views to. Peers of the own zone come first,
-// except that otherZonePeers are left for other zones. Within each group, rendezvous
+// except that otherZonePeers are reserved for other zones. Within each group, rendezvous
 // hashing selects the peers, so that few links change when instances come or go. The
 // caller holds e.mu.
 func (e *Exchange) selectPeers() map[string]Peer {
--- a/exchange/spread_test.go
+++ b/exchange/spread_test.go
@@ -25,22 +25,23 @@
 )
 
 const (
-	linkLag = time.Millisecond // between zones
-	// startTime is how long instances take to connect to each other.
-	startTime = 2 * time.Second
+	linkLatency = time.Millisecond // one way, between two instances
+	// startupTime is how long instances take to connect to each other.
+	startupTime = 2 * time.Second
 	// observedTime is how long the instances are observed after the crashes.
 	observedTime = 8 * time.Second
 	// callRate is the number of calls a second with the poison request, over all
-	// instances. From contactTime after the third crash no instance may send one.
-	callRate    = 200
-	contactTime = 3 * time.Second
+	// instances.
+	callRate = 200
+	// maxSpreadTime after the third crash, no instance may send the request any more.
+	maxSpreadTime = 3 * time.Second
 )
 
 var errProcessEnded = errors.New("process ended")
 
 type (
-	// spreadCase is a deployment, and the faults of some of its instances at the
-	// time when three others see a target crash under the same request.
+	// spreadCase is a deployment, and the faults of some of its instances. The faults
+	// begin when three other instances see a target crash under the same request.
 	spreadCase struct {
 		Name      string
 		Instances int
@@ -49,17 +50,17 @@
 		Frozen    float64 // share that is paused
 		Silent    float64 // share whose connections stay open but transfer nothing
 		Started   int     // instances that start a second later
-		WithinMs  int64   `yaml:"withinMs"` // until all undisturbed instances know
+		WithinMs  int64   `yaml:"withinMs"` // bound on spreadResult.spreadTime
 	}
 
 	// fleet holds the instances of a test.
 	fleet struct {
 		mu        sync.Mutex
-		instances map[string]*spreadNode // by address
+		instances map[string]*instance // by address
 	}
 
-	// spreadNode is an instance.
-	spreadNode struct {
+	// instance is a simulated entry instance.
+	instance struct {
 		peer    Peer
 		crashes poison.Book
 		ex      *Exchange
@@ -71,7 +72,7 @@
 	}
 
 	// spreadConn is a connection between two instances.
-	spreadConn struct{ from, to *spreadNode }
+	spreadConn struct{ from, to *instance }
 )
 
 func TestMain(m *testing.M) {
@@ -87,7 +88,7 @@
 		t.Run(c.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := runSpread(t, c)
-				t.Logf("known to all after %v; %d of %d calls sent after the third crash", r.spreadTime, r.sent, r.calls)
+				t.Logf("quarantined at all instances after %v; %d of %d calls sent after the third crash", r.spreadTime, r.sent, r.calls)
 				assert.LessOrEqual(t, r.spreadTime.Milliseconds(), c.WithinMs)
 				assert.Zero(t, r.sentLate)
 			})
@@ -95,12 +96,12 @@
 	}
 }
 
-// spreadResult is what a test has measured.
+// spreadResult holds the measurements of a case.
 type spreadResult struct {
-	spreadTime time.Duration // from the third crash until the last undisturbed instance knew
+	spreadTime time.Duration // from the third crash until all undisturbed instances quarantine the request
 	calls      int           // with the poison request, at undisturbed instances
-	sent       int           // calls that were sent because the instance did not know
-	sentLate   int           // calls that were sent after contactTime
+	sent       int           // calls at instances that did not quarantine the request yet
+	sentLate   int           // calls that were sent after maxSpreadTime
 }
 
 // runSpread runs a case while the poison request arrives at random instances.
@@ -109,15 +110,15 @@
 	defer synctest.Wait()
 	defer cancel()
 	rng := rand.New(rand.NewPCG(uint64(c.Instances), 1))
-	f := &fleet{instances: map[string]*spreadNode{}}
-	var all []*spreadNode
+	f := &fleet{instances: map[string]*instance{}}
+	var all []*instance
 	for i := range c.Instances {
 		all = append(all, f.add(i, c.Zones))
 	}
 	for _, n := range all {
 		f.start(ctx, n)
 	}
-	time.Sleep(startTime)
+	time.Sleep(startupTime)
 	others := all[3:]
 	rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	undisturbed := slices.Clone(all[:3])
@@ -152,10 +153,10 @@
 	unaware := slices.Clone(undisturbed)
 	for r.spreadTime = observedTime; time.Since(start) < observedTime; time.Sleep(time.Millisecond) {
 		f.mu.Lock()
-		r.call(undisturbed[rng.IntN(len(undisturbed))], print, rng.Float64() < callRate*time.Millisecond.Seconds(), time.Since(start))
+		r.recordCall(undisturbed[rng.IntN(len(undisturbed))], print, rng.Float64() < callRate*time.Millisecond.Seconds(), time.Since(start))
 		unaware = append(unaware, undisturbed[seen:]...)
 		seen = len(undisturbed)
-		unaware = slices.DeleteFunc(unaware, func(n *spreadNode) bool { return n.crashes.Judge(print, clock.Now()).Condemned })
+		unaware = slices.DeleteFunc(unaware, func(n *instance) bool { return n.crashes.Judge(print, clock.Now()).Condemned })
 		unawareCount := len(unaware)
 		f.mu.Unlock()
 		if unawareCount == 0 && r.spreadTime == observedTime && (c.Started == 0 || time.Since(start) > time.Second) {
@@ -165,8 +166,9 @@
 	return r
 }
 
-// call sends the poison request to an instance, if arrives is set.
-func (r *spreadResult) call(n *spreadNode, print poison.Fingerprint, arrives bool, after time.Duration) {
+// recordCall counts a call with the poison request at an instance, if arrives is set,
+// and whether the instance sends the call. after is the time since the third crash.
+func (r *spreadResult) recordCall(n *instance, print poison.Fingerprint, arrives bool, after time.Duration) {
 	if !arrives {
 		return
 	}
@@ -175,14 +177,14 @@
 		return
 	}
 	r.sent++
-	if after > contactTime {
+	if after > maxSpreadTime {
 		r.sentLate++
 	}
 }
 
 // add creates an instance that knows all others and is known to them.
-func (f *fleet) add(i, zones int) *spreadNode {
-	n := &spreadNode{peer: Peer{Node: fmt.Sprint("n-", i), Zone: fmt.Sprint("z", i%zones), Addr: fmt.Sprint("10.0.0.", i)}}
+func (f *fleet) add(i, zones int) *instance {
+	n := &instance{peer: Peer{Node: fmt.Sprint("n-", i), Zone: fmt.Sprint("z", i%zones), Addr: fmt.Sprint("10.0.0.", i)}}
 	n.ex = New(n.peer.Node, n.peer.Zone, &registry.Registry{}, &recall.Recall{}, &n.crashes, zerolog.Nop())
 	n.ex.dial = func(ctx context.Context, addr string) (conn, error) { return f.dial(ctx, n, addr) }
 	f.mu.Lock()
@@ -195,23 +197,23 @@
 	return n
 }
 
-func (f *fleet) start(ctx context.Context, n *spreadNode) {
+func (f *fleet) start(ctx context.Context, n *instance) {
 	ctx, n.stop = context.WithCancel(ctx)
 	go n.ex.Run(ctx)
 }
 
-func (n *spreadNode) kill() {
+func (n *instance) kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ended = true
 	n.stop()
 }
 
-func (f *fleet) dial(ctx context.Context, from *spreadNode, addr string) (conn, error) {
+func (f *fleet) dial(ctx context.Context, from *instance, addr string) (conn, error) {
 	f.mu.Lock()
 	to := f.instances[addr]
 	f.mu.Unlock()
-	if !clock.Sleep(ctx, 2*linkLag) {
+	if !clock.Sleep(ctx, 2*linkLatency) {
 		return nil, ctx.Err()
 	}
 	if to == nil || to.hasEnded() {
@@ -221,20 +223,20 @@
 }
 
 // disturb makes the instance frozen or silent from now on.
-func (n *spreadNode) disturb(until *time.Time) {
+func (n *instance) disturb(until *time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	*until = time.Now().Add(observedTime)
 }
 
-func (n *spreadNode) hasEnded() bool {
+func (n *instance) hasEnded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ended
 }
 
 // disturbedFor returns how long the instance still receives and sends nothing.
-func (n *spreadNode) disturbedFor() time.Duration {
+func (n *instance) disturbedFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return max(time.Until(n.frozen), time.Until(n.silent))
@@ -253,7 +255,7 @@
 	if err := c.waitUndisturbed(ctx); err != nil {
 		return err
 	}
-	if !clock.Sleep(ctx, linkLag) {
+	if !clock.Sleep(ctx, linkLatency) {
 		return ctx.Err()
 	}
 	if c.to.hasEnded() {
