--- a/relay/asker.go
+++ b/relay/asker.go
@@ -19,10 +19,10 @@
 	// answerTimeout is how long an answer may take beyond the requested wait. It
 	// includes a new connection and a first read of the table by the peer.
 	answerTimeout = 400 * time.Millisecond
-	// maxPeerRetryAge is the age of the table, in units of the cache's longest
-	// wait, up to which a failed question is followed by a question to another
-	// peer. With an older table the instance reads from the store.
-	maxPeerRetryAge = 3
+	// maxPeerRetryAgeInWaits is the age of the table, as a multiple of Cache.maxWait,
+	// up to which a failed question is followed by a question to another peer. With
+	// an older table the instance reads from the store.
+	maxPeerRetryAgeInWaits = 3
 	// retryJitterPerPeer, times the number of instances in the zone, is the longest
 	// random delay before the next read after a failed question. The delay keeps
 	// the instances of a zone from reading all at once.
@@ -47,10 +47,10 @@
 	// Notes holds cache locations that an instance sends to the peer which it
 	// asks. The peer writes them to the store.
 	Notes interface {
-		// Fresh returns the notes that no peer has received, and the number of
-		// all notes so far.
+		// Fresh returns the cache locations that no peer has received, and the number
+		// of all cache locations so far.
 		Fresh() ([]wire.Place, uint64)
-		// Taken records that a peer has received the first n notes.
+		// Taken records that a peer has received the first n cache locations.
 		Taken(n uint64)
 	}
 
@@ -62,12 +62,12 @@
 		Choice *Choice
 		Cache  *Cache // of the same table, for peers that ask this instance
 		Dial   func(ctx context.Context, addr string) (Conn, error)
-		// Notes are sent along with the questions; nil: none.
+		// Notes holds the cache locations to send along with questions; nil: none.
 		Notes Notes
 		Log   zerolog.Logger
 
 		conn       Conn
-		peer       exchange.Peer // that conn leads to
+		peer       exchange.Peer // at the other end of conn
 		readsStore bool          // the table was last read from the store
 		lastFailed bool          // the last question failed
 		forceStore bool          // the next read goes to the store
@@ -75,8 +75,9 @@
 	}
 )
 
-// Use reports whether the next read asks a peer. It does if there is a peer to
-// ask and no peer asks this instance.
+// Use reports whether the next read asks a peer. It does if there is a peer to ask, no
+// peer asks this instance, and the last question did not fail in a way that only a read
+// from the store resolves.
 func (a *Asker) Use() bool {
 	now := clock.Now()
 	servesPeers, _ := a.Cache.ServesPeers(now)
@@ -112,7 +113,7 @@
 
 // askNext asks the next peer and records whether it answers. It stops when peers
 // begin to ask this instance, which then has to read from the store for them.
-func (a *Asker) askNext(life context.Context, q wire.Question) (platform.Page, error) {
+func (a *Asker) askNext(parentCtx context.Context, q wire.Question) (platform.Page, error) {
 	now := clock.Now()
 	p, ok := a.Choice.Next(now)
 	servesPeers, questioned := a.Cache.ServesPeers(now)
@@ -122,7 +123,7 @@
 	if a.lastFailed {
 		q.Wait = 0 // the table is already older than usual
 	}
-	ctx, cancel := context.WithTimeout(life, q.Wait+answerTimeout)
+	ctx, cancel := context.WithTimeout(parentCtx, q.Wait+answerTimeout)
 	defer cancel()
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -137,7 +138,7 @@
 	a.lastFailed = err != nil
 	switch {
 	case err == nil:
-		a.Choice.NoteSuccess(p.Node)
+		a.Choice.RecordSuccess(p.Node)
 		a.asOf = page.Proved
 		return page, nil
 	case errors.Is(err, discovery.ErrMissed):
@@ -150,16 +151,16 @@
 		return page, errServesPeers
 	}
 	if errors.Is(err, errPeerStale) {
-		a.Choice.NoteStale(p.Node, clock.Now())
+		a.Choice.RecordStale(p.Node, clock.Now())
 	} else {
 		a.Drop()
-		a.Choice.NoteFailure(p.Node, clock.Now())
+		a.Choice.RecordFailure(p.Node, clock.Now())
 		// The next peer may fail, too, or has to read the table first.
-		a.forceStore = clock.Now().Sub(a.asOf) > maxPeerRetryAge*a.Cache.maxWait
+		a.forceStore = clock.Now().Sub(a.asOf) > maxPeerRetryAgeInWaits*a.Cache.maxWait
 	}
 	a.Log.Warn().Str("table", a.Table).Str("peer", p.Node).Int64("version", q.After).Dur("after", clock.Now().Sub(now)).Err(err).
 		Msg("relay: question failed; backing off from the peer")
-	clock.Sleep(life, rand.N(time.Duration(a.Choice.ZoneSize())*retryJitterPerPeer))
+	clock.Sleep(parentCtx, rand.N(time.Duration(a.Choice.ZoneSize())*retryJitterPerPeer))
 	return page, err
 }
 
@@ -179,9 +180,9 @@
 		a.readsStore = false
 		a.Log.Info().Str("table", a.Table).Str("peer", p.Node).Msg("relay: reading the table from a peer")
 	}
-	var noteCount uint64
+	var locationCount uint64
 	if a.Notes != nil {
-		q.CacheLocations, noteCount = a.Notes.Fresh()
+		q.CacheLocations, locationCount = a.Notes.Fresh()
 	}
 	askedAt := clock.Now()
 	answer, err := a.conn.Ask(ctx, q)
@@ -192,7 +193,7 @@
 		return platform.Page{}, errPeerStale
 	}
 	if a.Notes != nil {
-		a.Notes.Taken(noteCount)
+		a.Notes.Taken(locationCount)
 	}
 	switch answer.State {
 	case wire.AnswerMissed:
--- a/relay/asker_test.go
+++ b/relay/asker_test.go
@@ -25,8 +25,8 @@
 
 func (localConn) CloseNow() error { return nil }
 
-// A row that exceeds maxAnswerSize would hold up the answers to the zone. Each peer
-// reads it from the store once, and then goes on asking.
+// An instance reads a row that exceeds maxAnswerSize from the store, and then asks
+// peers again.
 func TestLargeRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cache, a := newCacheAndAsker()
@@ -56,7 +56,7 @@
 	server := &Server{Tables: map[string]*Cache{table: cache}, Leaving: func() bool { return false }, Log: zerolog.Nop()}
 	a := &Asker{Table: table, Choice: NewChoice("me", "z", func() []exchange.Peer { return []exchange.Peer{{Node: nameRankedBefore("me", "z"), Zone: "z"}} }),
 		Cache: NewCache(sameRow, time.Minute), Dial: func(context.Context, string) (Conn, error) { return localConn{server}, nil }, Log: zerolog.Nop()}
-	cache.noteQuestion(clock.Now())
+	cache.recordQuestion(clock.Now())
 	return cache, a
 }
 
@@ -83,12 +83,12 @@
 
 		cache.StoreFailed(clock.Now())
 		time.Sleep(300 * time.Millisecond)
-		back := clock.Now()
-		cache.Apply(storedRows([]string{"a deleted"}, 2), 2, back)
+		recoveredAt := clock.Now()
+		cache.Apply(storedRows([]string{"a deleted"}, 2), 2, recoveredAt)
 		time.Sleep(time.Second)
 		p, err = a.Changes(t.Context(), table, 1, 0)
 		assert.NoError(t, err)
 		assert.Len(t, p.Rows, 1)
-		assert.Equal(t, back, p.Away)
+		assert.Equal(t, recoveredAt, p.Away)
 	})
 }
--- a/relay/cache.go
+++ b/relay/cache.go
@@ -16,15 +16,17 @@
 	// for its peers. It is several times the longest wait of a question.
 	peerDemandTime = 6 * time.Second
 
-	// settlePeriod is how long after a change every write of a row is sent. A boot
-	// that was taken for ended counts as alive again after 3 s of heartbeats.
+	// settlePeriod is how long after a change every write of a row is sent, also mere
+	// heartbeats: a boot that was taken for ended counts as alive again after 3 s of
+	// heartbeats.
 	settlePeriod = 6 * time.Second
-	// unchangedInterval is how often a mere heartbeat of a row is sent otherwise.
+	// unchangedInterval is how often a mere heartbeat of a row is sent after
+	// settlePeriod.
 	unchangedInterval = 10 * time.Second
 
-	// maxAgeWaits is the greatest age of a table that is sent, in units of
-	// maxWait. While the store answers, the age is at most two.
-	maxAgeWaits = 2.2
+	// maxAgeInWaits is the greatest age of a table that is sent, as a multiple of
+	// Cache.maxWait. While the store answers, the age is at most two.
+	maxAgeInWaits = 2.2
 
 	// storeFailureGrace is how long an instance goes on answering when the store
 	// is unreachable. One failed call to the store is retried within that time, and
@@ -54,7 +56,7 @@
 		hasChanges    bool                  // rows have changed since the last notify
 		questionedAt  clock.Time
 		updated       chan struct{} // closed when an answer may have changed
-		questioned    chan struct{} // closed at the first question
+		questioned    chan struct{} // closed at the next question, if no peer asks now
 	}
 
 	// cachedRow holds the newest write of a row.
@@ -85,8 +87,8 @@
 	return false, c.questioned
 }
 
-// noteQuestion records that a peer has asked a question.
-func (c *Cache) noteQuestion(now clock.Time) {
+// recordQuestion records that a peer has asked a question.
+func (c *Cache) recordQuestion(now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.questionedAt == 0 || now.Sub(c.questionedAt) >= peerDemandTime {
@@ -103,7 +105,7 @@
 	return c.rows != nil
 }
 
-// Clear drops the table. An instance that stops reading for peers calls it.
+// Clear drops the table, when no peer asks this instance any more.
 func (c *Cache) Clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,9 +124,9 @@
 		present[r.Key] = true
 		c.putRow(r, version)
 	}
-	for key, h := range c.rows {
-		if !present[key] && !h.row.Deleted {
-			c.putRow(platform.StoredRow{RowID: h.row.RowID, Version: version, Deleted: true}, version)
+	for key, cached := range c.rows {
+		if !present[key] && !cached.row.Deleted {
+			c.putRow(platform.StoredRow{RowID: cached.row.RowID, Version: version, Deleted: true}, version)
 		}
 	}
 	c.advance(version, asOf)
@@ -165,18 +167,18 @@
 // it changed, or if a heartbeat is due. The caller holds c.mu.
 func (c *Cache) putRow(r platform.StoredRow, version int64) {
 	now := clock.Now()
-	h := c.rows[r.Key]
-	if h != nil && h.row.Version == r.Version && !r.Deleted {
+	cached := c.rows[r.Key]
+	if cached != nil && cached.row.Version == r.Version && !r.Deleted {
 		return // known already; the whole table was read again
 	}
-	if h == nil || !c.unchanged(h.row, r) {
+	if cached == nil || !c.unchanged(cached.row, r) {
 		c.rows[r.Key] = &cachedRow{row: r, sendVersion: version, sendVersionAt: now, changedAt: now}
 		c.hasChanges = true
 		return
 	}
-	h.row = r
-	if now.Sub(h.changedAt) < settlePeriod || now.Sub(h.sendVersionAt) >= unchangedInterval {
-		h.sendVersion, h.sendVersionAt = version, now
+	cached.row = r
+	if now.Sub(cached.changedAt) < settlePeriod || now.Sub(cached.sendVersionAt) >= unchangedInterval {
+		cached.sendVersion, cached.sendVersionAt = version, now
 	}
 }
 
@@ -197,10 +199,10 @@
 // dropTombstones removes rows that were deleted longer than tombstoneTime ago.
 // The caller holds c.mu.
 func (c *Cache) dropTombstones(now clock.Time) {
-	for key, h := range c.rows {
-		if h.row.Deleted && now.Sub(h.changedAt) > tombstoneTime {
+	for key, cached := range c.rows {
+		if cached.row.Deleted && now.Sub(cached.changedAt) > tombstoneTime {
 			delete(c.rows, key)
-			c.minVersion = max(c.minVersion, h.sendVersion)
+			c.minVersion = max(c.minVersion, cached.sendVersion)
 		}
 	}
 }
@@ -216,7 +218,7 @@
 	switch {
 	case c.failingSince != 0 && (c.rows == nil || clock.Now().Sub(c.failingSince) > storeFailureGrace):
 		return wire.Answer{State: wire.AnswerStale}, true, c.updated
-	case c.rows == nil || clock.Now().Sub(c.asOf) > time.Duration(maxAgeWaits*float64(c.maxWait)):
+	case c.rows == nil || clock.Now().Sub(c.asOf) > time.Duration(maxAgeInWaits*float64(c.maxWait)):
 		return wire.Answer{State: wire.AnswerStale}, false, c.updated
 	case !q.Whole && q.After < c.minVersion:
 		return wire.Answer{State: wire.AnswerMissed}, true, c.updated
@@ -233,8 +235,8 @@
 // changedSince reports whether a row has changed after a version, other than by a
 // heartbeat. The caller holds c.mu.
 func (c *Cache) changedSince(after int64) bool {
-	for _, h := range c.rows {
-		if h.sendVersion > after && h.sendVersionAt == h.changedAt {
+	for _, cached := range c.rows {
+		if cached.sendVersion > after && cached.sendVersionAt == cached.changedAt {
 			return true
 		}
 	}
@@ -245,9 +247,9 @@
 // The caller holds c.mu.
 func (c *Cache) rowsFor(q wire.Question) []wire.TableRow {
 	var out []wire.TableRow
-	for _, h := range c.rows {
-		if q.Whole && !h.row.Deleted || !q.Whole && h.sendVersion > q.After {
-			out = append(out, wire.TableRow{Key: h.row.Key, Value: h.row.Value, Version: h.row.Version, Deleted: h.row.Deleted, Unreadable: h.row.Err != nil})
+	for _, cached := range c.rows {
+		if q.Whole && !cached.row.Deleted || !q.Whole && cached.sendVersion > q.After {
+			out = append(out, wire.TableRow{Key: cached.row.Key, Value: cached.row.Value, Version: cached.row.Version, Deleted: cached.row.Deleted, Unreadable: cached.row.Err != nil})
 		}
 	}
 	slices.SortFunc(out, func(a, b wire.TableRow) int { return cmp.Compare(a.Version, b.Version) })
--- a/relay/cache_test.go
+++ b/relay/cache_test.go
@@ -17,6 +17,7 @@
 )
 
 type (
+	// cacheCase is a case of testdata/cache.yaml, which describes its fields.
 	cacheCase struct {
 		Name  string
 		Steps []cacheStep
@@ -56,7 +57,7 @@
 func (c cacheCase) run(t *testing.T) {
 	start := time.Now()
 	cache := NewCache(sameRow, 725*time.Millisecond)
-	cache.noteQuestion(clock.Now())
+	cache.recordQuestion(clock.Now())
 	for n, s := range c.Steps {
 		time.Sleep(time.Until(start.Add(time.Duration(s.At * float64(time.Second)))))
 		now := clock.Now()
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -19,7 +19,7 @@
 	minPeerBackoff = 4 * time.Second
 	maxPeerBackoff = 60 * time.Second
 	// maxOutageCallRate is how many calls a second all instances together make to
-	// an unavailable store, without the first instance of each zone.
+	// an unavailable store, not counting the first instance of each zone.
 	// minOutageBackoff and maxOutageBackoff bound the resulting backoff.
 	maxOutageCallRate = 150
 	minOutageBackoff  = 300 * time.Millisecond
@@ -69,8 +69,9 @@
 	return exchange.Peer{}, false
 }
 
-// ranked returns the instances of the zone, with this one, in the order in which all
-// of them ask. The order of two instances does not depend on the others.
+// ranked returns the instances of the zone, with this one, in the order in which they
+// are asked. The order is the same at all instances, and that of two instances does not
+// depend on the others.
 func (c *Choice) ranked() []exchange.Peer {
 	all := []exchange.Peer{{Node: c.node, Zone: c.zone}}
 	for _, p := range c.peers() {
@@ -98,9 +99,9 @@
 // ZoneSize returns the number of known instances of the zone, with this one.
 func (c *Choice) ZoneSize() int { return len(c.ranked()) }
 
-// Backoff returns the longest wait between two calls to an unavailable store. It is
-// shortest for the instance that its zone asks first, by which the others find out
-// that the store is back.
+// Backoff returns the longest wait between two calls to an unavailable store. The
+// backoff is shortest for the instance that its zone asks first: the other instances
+// learn from it that the store is available again.
 func (c *Choice) Backoff() time.Duration {
 	if c.ranked()[0].Node == c.node {
 		return minOutageBackoff
@@ -109,27 +110,27 @@
 	return min(max(minOutageBackoff, time.Duration(n)*time.Second/maxOutageCallRate), maxOutageBackoff)
 }
 
-// NoteStale records that a peer answered that its table is stale.
-func (c *Choice) NoteStale(node string, now clock.Time) {
+// RecordStale records that a peer answered that its table is stale.
+func (c *Choice) RecordStale(node string, now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.backoffs[node] = peerBackoff{until: now.Add(stalePeerBackoff)}
 }
 
-// NoteFailure records that a peer did not answer.
-func (c *Choice) NoteFailure(node string, now clock.Time) {
+// RecordFailure records that a peer did not answer.
+func (c *Choice) RecordFailure(node string, now clock.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.backoffs[node]
-	if now < s.until {
+	b := c.backoffs[node]
+	if now < b.until {
 		return // a concurrent question has failed already
 	}
-	s.until, s.failures = now.Add(min(minPeerBackoff<<min(s.failures, 10), maxPeerBackoff)), s.failures+1
-	c.backoffs[node] = s
+	b.until, b.failures = now.Add(min(minPeerBackoff<<min(b.failures, 10), maxPeerBackoff)), b.failures+1
+	c.backoffs[node] = b
 }
 
-// NoteSuccess records that a peer has answered.
-func (c *Choice) NoteSuccess(node string) {
+// RecordSuccess records that a peer has answered.
+func (c *Choice) RecordSuccess(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.backoffs, node)
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -5,8 +5,8 @@
 // All instances of a zone order each other alike, by rendezvous hashing, and each
 // asks the first of them that answers. An instance reads from the store if it comes
 // first, if peers ask it, or if no peer answers. There is no election: two
-// instances that both read from the store cost additional calls, but no
-// correctness. The asking instance counts the age of a table on its own clock, from
+// instances that both read from the store cost additional calls, but the table stays
+// correct. The asking instance counts the age of a table on its own clock, from
 // the time at which it sent its question. A paused peer or a late answer therefore
 // never makes a table look younger than it is.
 //
--- a/relay/server.go
+++ b/relay/server.go
@@ -27,7 +27,8 @@
 // Server answers peers that ask for tables.
 type Server struct {
 	Tables map[string]*Cache // by name
-	// Leaving reports whether this instance is draining. It then refuses questions.
+	// Leaving reports whether this instance is draining. It then answers questions
+	// with AnswerStale, so that peers ask another instance.
 	Leaving func() bool
 	// Keep receives the cache locations that peers send along with questions, to
 	// write them to the store; nil: they are dropped.
@@ -70,7 +71,7 @@
 	if c == nil || s.Leaving() {
 		return wire.Answer{State: wire.AnswerStale}
 	}
-	c.noteQuestion(received)
+	c.recordQuestion(received)
 	if s.Keep != nil {
 		s.Keep(q.CacheLocations)
 	}
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -29,29 +29,30 @@
 
 const (
 	table             = "t"
-	rows              = 60
+	rowCount          = 60
 	heartbeatInterval = 1200 * time.Millisecond
-	// changeEvery is the number of writes per change of a row. A change every 3 s is
-	// rare enough that calls for changes time out in between.
-	changeEvery    = 150
-	storeLag       = 4 * time.Millisecond
-	linkLag        = 200 * time.Microsecond
-	pollWait       = 800 * time.Millisecond
-	defaultMaxWait = 400 * time.Millisecond // unless the scenario sets another
-	pollInterval   = 400 * time.Millisecond
-	rereadInterval = 10 * time.Second
-	// startTime after its start, and settleTime after a fault of its own or of the
-	// store, an instance has to meet the bound on age.
-	startTime  = time.Second
-	settleTime = 1500 * time.Millisecond
-	// lastCallTime is how long an instance may wait for a call that the store never
+	// writesPerChange is the number of writes per change of a row. A change every 3 s is
+	// rare enough that calls for changes end without rows in between.
+	writesPerChange = 150
+	storeLatency    = 4 * time.Millisecond
+	linkLatency     = 200 * time.Microsecond
+	pollWait        = 800 * time.Millisecond
+	defaultMaxWait  = 400 * time.Millisecond // unless the scenario sets another
+	pollInterval    = 400 * time.Millisecond
+	rereadInterval  = 10 * time.Second
+	// startupTime and settleTime are how long after its start, and after a fault of its
+	// own or of the store, an instance may exceed the bound on age.
+	startupTime = time.Second
+	settleTime  = 1500 * time.Millisecond
+	// unansweredCallTime is how long an instance may wait for a call that the store never
 	// answers.
-	lastCallTime = 1500 * time.Millisecond
+	unansweredCallTime = 1500 * time.Millisecond
 )
 
 var errDisconnected = errors.New("connection lost")
 
 type (
+	// scenario is a case of testdata/spread.yaml, which describes its fields.
 	scenario struct {
 		Name      string
 		Instances int
@@ -83,8 +84,8 @@
 		deleted bool
 	}
 
-	// model is a deployment: a store, and instances that relay its table.
-	model struct {
+	// deployment is a simulated store, and instances that relay its table.
+	deployment struct {
 		t          *testing.T
 		rng        *rand.Rand
 		start      time.Time
@@ -100,7 +101,7 @@
 		changed          chan struct{}
 		unavailableUntil time.Time
 		slowUntil        time.Time
-		lag              time.Duration
+		slowLatency      time.Duration // until slowUntil
 		calls            int
 		instances        []*instance
 		maxAge           time.Duration
@@ -110,7 +111,7 @@
 	// instance is an entry instance that follows the table, by reading it from the
 	// store or from peers.
 	instance struct {
-		m          *model
+		d          *deployment
 		name, zone string
 		choice     *Choice
 
@@ -125,7 +126,7 @@
 		storeSilentUntil  time.Time
 		checkedFrom       time.Time // the age of the table is checked from then on
 
-		asOf       clock.Time
+		asOf       clock.Time     // time up to which the table is complete
 		lastWrites map[string]int // number of the last known change, by key
 	}
 )
@@ -164,86 +165,86 @@
 }
 
 func runScenario(t *testing.T, s scenario, heartbeats bool) {
-	m := &model{t: t, heartbeats: heartbeats, maxWait: cmp.Or(time.Duration(s.Wait)*time.Millisecond, defaultMaxWait), rng: rand.New(rand.NewPCG(uint64(s.Instances), 1)), start: time.Now(), stored: map[string]platform.StoredRow{}, changed: make(chan struct{})}
+	d := &deployment{t: t, heartbeats: heartbeats, maxWait: cmp.Or(time.Duration(s.Wait)*time.Millisecond, defaultMaxWait), rng: rand.New(rand.NewPCG(uint64(s.Instances), 1)), start: time.Now(), stored: map[string]platform.StoredRow{}, changed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
-	for k := range rows {
-		m.changeRow(fmt.Sprint("k", k), 0, false)
+	for k := range rowCount {
+		d.changeRow(fmt.Sprint("k", k), 0, false)
 	}
 	for i := range s.Instances {
-		m.addInstance(fmt.Sprint("n", i), fmt.Sprint("z", i%s.Zones))
+		d.addInstance(fmt.Sprint("n", i), fmt.Sprint("z", i%s.Zones))
 	}
-	for _, i := range m.instances {
+	for _, i := range d.instances {
 		i.start(ctx)
 	}
-	go m.writeRows(ctx)
+	go d.writeRows(ctx)
 	for _, f := range s.Faults {
-		go m.injectFault(ctx, f)
+		go d.injectFault(ctx, f)
 	}
 	time.Sleep(3 * time.Second)
-	callsAtStart := m.calls
-	end := m.start.Add(time.Duration(s.Seconds * float64(time.Second)))
+	callsAtStart := d.calls
+	end := d.start.Add(time.Duration(s.Seconds * float64(time.Second)))
 	for time.Now().Before(end) {
 		time.Sleep(50 * time.Millisecond)
-		m.recordMaxAge()
+		d.recordMaxAge()
 	}
-	m.mu.Lock()
-	calls := float64(m.calls-callsAtStart) / (s.Seconds - 3)
-	m.mu.Unlock()
-	t.Logf("greatest age %v (%s), %.1f calls a second", m.maxAge, m.maxAgeAt, calls)
-	assert.LessOrEqual(t, m.maxAge.Milliseconds(), int64(s.Bounds.Age))
+	d.mu.Lock()
+	calls := float64(d.calls-callsAtStart) / (s.Seconds - 3)
+	d.mu.Unlock()
+	t.Logf("greatest age %v (%s), %.1f calls a second", d.maxAge, d.maxAgeAt, calls)
+	assert.LessOrEqual(t, d.maxAge.Milliseconds(), int64(s.Bounds.Age))
 	assert.LessOrEqual(t, calls, s.Bounds.Calls)
 	cancel()
 	synctest.Wait()
 }
 
 // writeRows writes random rows until ctx ends.
-func (m *model) writeRows(ctx context.Context) {
-	interval := heartbeatInterval / rows
+func (d *deployment) writeRows(ctx context.Context) {
+	interval := heartbeatInterval / rowCount
 	for n := 1; clock.Sleep(ctx, interval); n++ {
-		m.mu.Lock()
-		key := fmt.Sprint("k", m.rng.IntN(rows))
-		change, deleted := n%changeEvery == 0, m.rng.IntN(10) == 0
-		m.mu.Unlock()
+		d.mu.Lock()
+		key := fmt.Sprint("k", d.rng.IntN(rowCount))
+		change, deleted := n%writesPerChange == 0, d.rng.IntN(10) == 0
+		d.mu.Unlock()
 		if change {
-			m.changeRow(key, n, deleted)
-		} else if m.heartbeats {
-			m.heartbeat(key)
+			d.changeRow(key, n, deleted)
+		} else if d.heartbeats {
+			d.heartbeat(key)
 		}
 	}
 }
 
-// changeRow changes a row.
-func (m *model) changeRow(key string, n int, deleted bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.writes = append(m.writes, rowWrite{at: time.Now(), key: key, n: n, deleted: deleted})
-	m.storeRow(key, fmt.Sprintf("%d:0", n), deleted)
+// changeRow writes the n-th value to a row, or deletes the row.
+func (d *deployment) changeRow(key string, n int, deleted bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.writes = append(d.writes, rowWrite{at: time.Now(), key: key, n: n, deleted: deleted})
+	d.storeRow(key, fmt.Sprintf("%d:0", n), deleted)
 }
 
 // heartbeat writes a row with only its heartbeat changed.
-func (m *model) heartbeat(key string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	r, ok := m.stored[key]
+func (d *deployment) heartbeat(key string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	r, ok := d.stored[key]
 	if !ok {
 		return
 	}
 	n, count, _ := strings.Cut(string(r.Value), ":")
 	b, _ := strconv.Atoi(count)
-	m.storeRow(key, fmt.Sprintf("%s:%d", n, b+1), false)
+	d.storeRow(key, fmt.Sprintf("%s:%d", n, b+1), false)
 }
 
-func (m *model) storeRow(key, value string, deleted bool) {
-	m.version++
-	r := platform.StoredRow{RowID: platform.RowID{Table: table, Key: key}, Value: []byte(value), Version: m.version, Deleted: deleted}
+func (d *deployment) storeRow(key, value string, deleted bool) {
+	d.version++
+	r := platform.StoredRow{RowID: platform.RowID{Table: table, Key: key}, Value: []byte(value), Version: d.version, Deleted: deleted}
 	if deleted {
-		delete(m.stored, key)
+		delete(d.stored, key)
 	} else {
-		m.stored[key] = r
+		d.stored[key] = r
 	}
-	m.changes = append(m.changes, r)
-	close(m.changed)
-	m.changed = make(chan struct{})
+	d.changes = append(d.changes, r)
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 func sameRow(a, b platform.StoredRow) bool {
@@ -252,14 +253,14 @@
 	return a.Deleted == b.Deleted && (a.Deleted || x == y)
 }
 
-func (m *model) addInstance(name, zone string) {
-	i := &instance{m: m, name: name, zone: zone}
-	m.instances = append(m.instances, i)
+func (d *deployment) addInstance(name, zone string) {
+	i := &instance{d: d, name: name, zone: zone}
+	d.instances = append(d.instances, i)
 }
 
-func (m *model) peers() []exchange.Peer {
+func (d *deployment) peers() []exchange.Peer {
 	var out []exchange.Peer
-	for _, i := range m.instances {
+	for _, i := range d.instances {
 		out = append(out, exchange.Peer{Node: i.name, Zone: i.zone, Addr: i.name})
 	}
 	return out
@@ -271,13 +272,13 @@
 	defer i.mu.Unlock()
 	i.processCtx, i.stop = context.WithCancel(ctx)
 	i.killed, i.lastWrites, i.asOf = false, map[string]int{}, 0
-	if checkedFrom := time.Now().Add(startTime); checkedFrom.After(i.checkedFrom) {
+	if checkedFrom := time.Now().Add(startupTime); checkedFrom.After(i.checkedFrom) {
 		i.checkedFrom = checkedFrom
 	}
 	i.choice = NewChoice(i.name, i.zone, func() []exchange.Peer {
-		return slices.DeleteFunc(i.m.peers(), func(p exchange.Peer) bool { return p.Node == i.name })
+		return slices.DeleteFunc(i.d.peers(), func(p exchange.Peer) bool { return p.Node == i.name })
 	})
-	cache := NewCache(sameRow, i.m.maxWait)
+	cache := NewCache(sameRow, i.d.maxWait)
 	i.server = &Server{Tables: map[string]*Cache{table: cache}, Leaving: func() bool { return false }, Log: zerolog.Nop()}
 	store := &storeReader{i: i, processCtx: i.processCtx}
 	processCtx := i.processCtx
@@ -317,13 +318,13 @@
 	if err := r.request(ctx); err != nil {
 		return platform.Page{}, err
 	}
-	m := r.i.m
-	m.mu.Lock()
-	p := platform.Page{Version: m.version}
-	for _, row := range m.stored {
+	d := r.i.d
+	d.mu.Lock()
+	p := platform.Page{Version: d.version}
+	for _, row := range d.stored {
 		p.Rows = append(p.Rows, row)
 	}
-	m.mu.Unlock()
+	d.mu.Unlock()
 	return p, r.response(ctx)
 }
 
@@ -331,22 +332,22 @@
 	if err := r.request(ctx); err != nil {
 		return platform.Page{}, err
 	}
-	m := r.i.m
+	d := r.i.d
 	end := time.After(wait)
 	for timedOut := false; ; {
-		m.mu.Lock()
-		if after < m.minVersion {
-			m.mu.Unlock()
+		d.mu.Lock()
+		if after < d.minVersion {
+			d.mu.Unlock()
 			return platform.Page{}, discovery.ErrMissed
 		}
-		p := platform.Page{Version: m.version}
-		for _, c := range m.changes {
+		p := platform.Page{Version: d.version}
+		for _, c := range d.changes {
 			if c.Version > after {
 				p.Rows = append(p.Rows, c)
 			}
 		}
-		changed := m.changed
-		m.mu.Unlock()
+		changed := d.changed
+		d.mu.Unlock()
 		if len(p.Rows) > 0 || timedOut {
 			return p, r.response(ctx)
 		}
@@ -367,14 +368,14 @@
 	if err := r.i.waitWhilePaused(ctx); err != nil {
 		return err
 	}
-	m := r.i.m
-	m.mu.Lock()
-	m.calls++
-	unavailable, lag := time.Now().Before(m.unavailableUntil), storeLag
-	if time.Now().Before(m.slowUntil) {
-		lag = m.lag
+	d := r.i.d
+	d.mu.Lock()
+	d.calls++
+	unavailable, latency := time.Now().Before(d.unavailableUntil), storeLatency
+	if time.Now().Before(d.slowUntil) {
+		latency = d.slowLatency
 	}
-	m.mu.Unlock()
+	d.mu.Unlock()
 	r.i.mu.Lock()
 	failing, silent := time.Now().Before(r.i.storeErrorUntil), time.Now().Before(r.i.storeSilentUntil)
 	r.i.mu.Unlock()
@@ -382,7 +383,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if !clock.Sleep(ctx, lag) {
+	if !clock.Sleep(ctx, latency) {
 		return ctx.Err()
 	}
 	if unavailable || failing {
@@ -407,11 +408,11 @@
 }
 
 func (i *instance) dial(ctx, ownCtx context.Context, addr string) (Conn, error) {
-	for _, to := range i.m.instances {
+	for _, to := range i.d.instances {
 		if to.name != addr {
 			continue
 		}
-		if !clock.Sleep(ctx, 2*linkLag) {
+		if !clock.Sleep(ctx, 2*linkLatency) {
 			return nil, ctx.Err()
 		}
 		to.mu.Lock()
@@ -433,7 +434,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	context.AfterFunc(c.peerCtx, cancel) // the end of a process resets its connections
-	if !clock.Sleep(ctx, linkLag) {
+	if !clock.Sleep(ctx, linkLatency) {
 		return wire.Answer{}, errDisconnected
 	}
 	c.to.mu.Lock()
@@ -450,7 +451,7 @@
 	if err := c.to.waitWhilePaused(ctx); err != nil {
 		return wire.Answer{}, err
 	}
-	if !clock.Sleep(ctx, linkLag) {
+	if !clock.Sleep(ctx, linkLatency) {
 		return wire.Answer{}, ctx.Err()
 	}
 	b, err := wire.EncodeAnswer(a)
@@ -465,7 +466,7 @@
 
 func (*conn) CloseNow() error { return nil }
 
-// source adapts a platform.Reader to the table of the model.
+// source adapts a platform.Reader to the source of a discovery.Follower.
 type source struct{ reader platform.Reader }
 
 func (s source) Read(ctx context.Context) (discovery.Reading[platform.StoredRow], error) {
@@ -525,21 +526,21 @@
 		i.lastWrites[r.Key], _ = strconv.Atoi(n)
 	}
 	i.asOf = max(i.asOf, at)
-	i.m.checkComplete(i, at)
+	i.d.checkComplete(i, at)
 }
 
 func (*sink) Away(clock.Time) {}
 
 // checkComplete fails the test if an instance misses a write from before the time up
 // to which it assumes that its table is complete. The caller holds i.mu.
-func (m *model) checkComplete(i *instance, at clock.Time) {
+func (d *deployment) checkComplete(i *instance, at clock.Time) {
 	if at > clock.Now() {
-		m.t.Errorf("%v: %s assumes that its table is complete up to %v from now", time.Since(m.start), i.name, at.Sub(clock.Now()))
+		d.t.Errorf("%v: %s assumes that its table is complete up to %v from now", time.Since(d.start), i.name, at.Sub(clock.Now()))
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	last := map[string]rowWrite{}
-	for _, w := range m.writes {
+	for _, w := range d.writes {
 		if clock.Time(w.at.UnixNano()) < at {
 			last[w.key] = w
 		}
@@ -547,49 +548,49 @@
 	for key, w := range last {
 		n, ok := i.lastWrites[key]
 		if w.deleted && ok && n < w.n || !w.deleted && ok && n < w.n {
-			m.t.Errorf("%v: %s has write %d of %s as the last, but write %d came %v before %v", time.Since(m.start), i.name, n, key, w.n,
-				time.Duration(at)-time.Duration(w.at.UnixNano()), time.Unix(0, int64(at)).Sub(m.start))
+			d.t.Errorf("%v: %s has write %d of %s as the last, but write %d came %v before %v", time.Since(d.start), i.name, n, key, w.n,
+				time.Duration(at)-time.Duration(w.at.UnixNano()), time.Unix(0, int64(at)).Sub(d.start))
 		}
 	}
 }
 
 // recordMaxAge updates the greatest age among the instances under check.
-func (m *model) recordMaxAge() {
+func (d *deployment) recordMaxAge() {
 	now := time.Now()
-	m.mu.Lock()
-	if now.Before(m.unavailableUntil.Add(settleTime)) {
-		m.mu.Unlock()
+	d.mu.Lock()
+	if now.Before(d.unavailableUntil.Add(settleTime)) {
+		d.mu.Unlock()
 		return
 	}
-	m.mu.Unlock()
-	for _, i := range m.instances {
+	d.mu.Unlock()
+	for _, i := range d.instances {
 		i.mu.Lock()
 		age := clock.Now().Sub(i.asOf)
-		if !i.killed && !now.Before(i.checkedFrom) && age > m.maxAge {
-			m.maxAge, m.maxAgeAt = age, fmt.Sprint(i.name, " at ", now.Sub(m.start))
+		if !i.killed && !now.Before(i.checkedFrom) && age > d.maxAge {
+			d.maxAge, d.maxAgeAt = age, fmt.Sprint(i.name, " at ", now.Sub(d.start))
 		}
 		i.mu.Unlock()
 	}
 }
 
 // injectFault applies a fault at its time.
-func (m *model) injectFault(ctx context.Context, f fault) {
+func (d *deployment) injectFault(ctx context.Context, f fault) {
 	if !clock.Sleep(ctx, time.Duration(f.At*float64(time.Second))) {
 		return
 	}
 	duration := time.Duration(f.For * float64(time.Second))
 	until := time.Now().Add(duration)
-	m.mu.Lock()
+	d.mu.Lock()
 	switch f.Kind {
 	case "down":
-		m.unavailableUntil = until
+		d.unavailableUntil = until
 	case "slow":
-		m.slowUntil, m.lag = until, time.Duration(f.Lag)*time.Millisecond
+		d.slowUntil, d.slowLatency = until, time.Duration(f.Lag)*time.Millisecond
 	case "forget":
-		m.minVersion, m.changes = m.version, nil
+		d.minVersion, d.changes = d.version, nil
 	}
-	m.mu.Unlock()
-	for _, i := range m.affected(f) {
+	d.mu.Unlock()
+	for _, i := range d.affected(f) {
 		i.mu.Lock()
 		switch f.Kind {
 		case "pause":
@@ -597,7 +598,7 @@
 		case "silent":
 			i.unresponsiveUntil = until
 		case "mute":
-			i.storeSilentUntil, i.checkedFrom = until, until.Add(settleTime+lastCallTime)
+			i.storeSilentUntil, i.checkedFrom = until, until.Add(settleTime+unansweredCallTime)
 		case "cut":
 			i.storeErrorUntil, i.checkedFrom = until, until.Add(settleTime)
 		}
@@ -614,19 +615,19 @@
 }
 
 // affected returns the instances that a fault affects.
-func (m *model) affected(f fault) []*instance {
+func (d *deployment) affected(f fault) []*instance {
 	if f.Share > 0 {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		order := m.rng.Perm(len(m.instances))
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		order := d.rng.Perm(len(d.instances))
 		var out []*instance
 		for _, k := range order[:int(f.Share*float64(len(order)))] {
-			out = append(out, m.instances[k])
+			out = append(out, d.instances[k])
 		}
 		return out
 	}
 	var out []*instance
-	for _, i := range m.instances {
+	for _, i := range d.instances {
 		for _, p := range i.choice.ranked()[:min(f.First, i.choice.ZoneSize())] {
 			if p.Node == i.name {
 				out = append(out, i)
