--- a/loopback/fork_test.go
+++ b/loopback/fork_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A port from FreePort can be listened on at once, while other goroutines fork: no
-// child inherits the listener with which FreePort tried the port.
+// A port from FreePort must be free to listen on while other goroutines fork: a child
+// must not inherit the listener with which FreePort checked the port.
 func TestPortFreeWhileProcessesStart(t *testing.T) {
 	// The runtime's first fork probes kernel features outside the fork lock.
 	require.NoError(t, exec.Command("true").Run())
--- a/loopback/link.go
+++ b/loopback/link.go
@@ -85,8 +85,8 @@
 
 // resetAll resets all connections. The caller holds l.mu.
 func (l *Link) resetAll() {
-	for p := range l.connections {
-		p.reset()
+	for conn := range l.connections {
+		conn.reset()
 	}
 }
 
@@ -140,7 +140,8 @@
 	return l.fault == Reset
 }
 
-// copyDirection forwards one direction; blocking is the fault that holds its bytes.
+// copyDirection forwards one direction; blocking is the fault that holds back the
+// bytes of this direction alone.
 func (l *Link) copyDirection(conn *connection, to, from *net.TCPConn, blocking string) {
 	buf := make([]byte, bufferBytes)
 	for {
--- a/loopback/ports.go
+++ b/loopback/ports.go
@@ -86,9 +86,9 @@
 	return 0, false
 }
 
-// isFree reports whether nothing listens on a port. It holds the fork lock: a child
-// forked meanwhile would inherit the trial listener and keep it open until exec, and
-// the port would be taken when the process under test listens.
+// isFree reports whether nothing listens on a port. It listens on the port to find
+// out, and holds the fork lock meanwhile: a forked child would inherit the listener
+// and keep the port in use until exec.
 func isFree(port int) bool {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
