--- a/agent/agent.go
+++ b/agent/agent.go
@@ -56,15 +56,15 @@
 
 		mu                 sync.Mutex
 		epoch              uint64
-		version            int64
-		validUntil         time.Time
+		leaseVersion       int64
+		leaseValidUntil    time.Time
 		mayActAt           time.Time // when the lease of the previous holder has certainly expired
 		isStoreUnreachable bool
 		conns              map[*wire.Conn]struct{}
 		isTargetHealthy    bool
 		isDraining         bool
 		attempts           map[attemptKey]runningAttempt
-		rejected           int
+		rejected           int // attempts rejected while draining
 		faults             faults
 	}
 )
@@ -154,7 +154,7 @@
 	if a.epoch == 0 || now.Before(a.mayActAt) {
 		return 0
 	}
-	if now.Before(a.validUntil) || a.isStoreUnreachable {
+	if now.Before(a.leaseValidUntil) || a.isStoreUnreachable {
 		return a.epoch
 	}
 	return 0
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -102,7 +102,7 @@
 
 // A store outage longer than the lease must not stop a holder that tried to
 // renew.
-func TestStoreOutageKeepsAuthority(t *testing.T) {
+func TestStoreOutageKeepsLease(t *testing.T) {
 	cfg, ps := startEngineAndStore(t)
 	ctx := context.Background()
 	a, err := New(cfg, "e1", zerolog.Nop())
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -55,18 +55,18 @@
 		a.log.Warn().Err(err).Msg("agent: cannot write to the lease row that the target is draining")
 	}
 	if !a.waitUntilIdle(ctx, timeout) && ctx.Err() == nil {
-		a.returnAttempts(ctx)
+		a.failAttempts(ctx)
 	}
 	a.mu.Lock()
-	refused := a.rejected
+	rejected := a.rejected
 	a.mu.Unlock()
-	a.log.Info().Int("refused", refused).Dur("took", time.Since(start)).
-		Msgf("agent: drained in %v, %d new attempts rejected", time.Since(start).Round(time.Millisecond), refused)
+	a.log.Info().Int("refused", rejected).Dur("took", time.Since(start)).
+		Msgf("agent: drained in %v, %d new attempts rejected", time.Since(start).Round(time.Millisecond), rejected)
 }
 
-// returnAttempts fails every attempt in progress, so that its entry instance
+// failAttempts fails every attempt in progress, so that its entry instance
 // continues it at another target.
-func (a *Agent) returnAttempts(ctx context.Context) {
+func (a *Agent) failAttempts(ctx context.Context) {
 	a.mu.Lock()
 	running := make([]runningAttempt, 0, len(a.attempts))
 	for _, r := range a.attempts {
--- a/agent/fault.go
+++ b/agent/fault.go
@@ -71,7 +71,7 @@
 		for _, c := range conns {
 			c.CloseNow()
 		}
-		a.log.Warn().Int64("forMs", f.ForMs).Msgf("agent: partitioned from %d entries for %d ms", len(conns), f.ForMs)
+		a.log.Warn().Int64("forMs", f.ForMs).Msgf("agent: partitioned from %d entry instances for %d ms", len(conns), f.ForMs)
 	case FaultPause:
 		a.faults.mu.Lock()
 		a.faults.pausedUntil = until
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -31,7 +31,7 @@
 	ttl := settings.Ms(a.cfg.Timeouts.LeaseMs)
 	key := LeasePrefix + a.target.Name
 	a.mu.Lock()
-	epoch, version := a.epoch, a.version
+	epoch, version := a.epoch, a.leaseVersion
 	a.mu.Unlock()
 	start := time.Now()
 	if epoch > 0 {
@@ -47,7 +47,7 @@
 		if cur, derr := DecodeLease(row.Value); derr == nil && cur.Epoch == epoch {
 			// An earlier renewal succeeded without an answer.
 			a.mu.Lock()
-			a.version = row.Version
+			a.leaseVersion = row.Version
 			a.mu.Unlock()
 			return nil
 		}
@@ -85,17 +85,17 @@
 func (a *Agent) setLease(epoch uint64, version int64, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.epoch, a.version, a.validUntil = epoch, version, until
+	a.epoch, a.leaseVersion, a.leaseValidUntil = epoch, version, until
 	a.isStoreUnreachable = false
 }
 
-func (a *Agent) setStoreUnreachable(down bool, epoch uint64) {
+func (a *Agent) setStoreUnreachable(unreachable bool, epoch uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if down && !a.isStoreUnreachable {
-		a.log.Warn().Uint64("epoch", epoch).Msg("agent: store unreachable; the lease stays in force until it returns")
+	if unreachable && !a.isStoreUnreachable {
+		a.log.Warn().Uint64("epoch", epoch).Msg("agent: store unreachable; the agent keeps its lease until the store is reachable")
 	}
-	a.isStoreUnreachable = down
+	a.isStoreUnreachable = unreachable
 }
 
 func (a *Agent) leaseValue(epoch uint64) LeaseValue {
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -90,8 +90,8 @@
 	return e, e == 0 || m.Fencing != e
 }
 
-// sendFinal sends the last message of an attempt. It only logs an error: after
-// one the entry instance fails the attempt itself.
+// sendFinal sends the last message of an attempt. It only logs an error, because
+// the entry instance fails the attempt itself when the connection is lost.
 func (a *Agent) sendFinal(ctx context.Context, c *wire.Conn, m wire.Message) {
 	if err := c.Send(ctx, m); err != nil {
 		a.log.Info().Str("request", m.RequestID).Int("attempt", m.Attempt).Str("type", m.Type.String()).Err(err).Msg("agent: cannot send the end of an attempt")
