--- a/engine/standin.go
+++ b/engine/standin.go
@@ -34,13 +34,13 @@
 		cfg StandInConfig
 		log zerolog.Logger
 
-		mu            sync.Mutex
-		sequences     []*sequence
-		arrivals      int64
-		fencing       uint64
-		cache         *lru
-		pausedUntil   time.Time
-		loadSnapshots []Load
+		mu             sync.Mutex
+		sequences      []*sequence
+		lastSequenceID int64
+		fencing        uint64
+		cache          *lru
+		pausedUntil    time.Time
+		loadSnapshots  []Load
 
 		stats struct{ generated, prefilled, cacheHits, completions, fenced atomic.Int64 }
 		exit  func(int)
@@ -57,10 +57,11 @@
 		RefuseFencing bool // reject old fencing numbers instead of ignoring them
 	}
 
+	// sequence is a generation in the batch or in the queue.
 	sequence struct {
 		id           int64
 		priority     int
-		prefillSteps int // steps left
+		prefillSteps int // steps until the prefill is complete
 		nextOffset   int
 		max          int
 		lastToken    string
@@ -68,6 +69,8 @@
 		isFinished   bool
 	}
 
+	// lru is the prefix cache, bounded to max keys; the front of order is the most
+	// recently used key.
 	lru struct {
 		max   int
 		order *list.List
@@ -137,7 +140,7 @@
 			q.nextOffset++
 			s.stats.generated.Add(1)
 		default:
-			continue // the reader is behind; retry in the next step
+			continue // the client reads too slowly; the next step sends the token
 		}
 		if q.nextOffset >= q.max {
 			q.isFinished = true
@@ -169,13 +172,13 @@
 func (s *StandIn) Load(now time.Time) Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cut := now.Add(-s.cfg.LoadLag).UnixMilli()
+	newestMs := now.Add(-s.cfg.LoadLag).UnixMilli()
 	var l Load
-	for _, h := range s.loadSnapshots {
-		if h.AtMs > cut {
+	for _, snapshot := range s.loadSnapshots {
+		if snapshot.AtMs > newestMs {
 			break
 		}
-		l = h
+		l = snapshot
 	}
 	return l
 }
@@ -203,6 +206,8 @@
 	return r
 }
 
+// admit adds a sequence for a completion. It returns ErrFenced if the stand-in
+// rejects the fencing number.
 func (s *StandIn) admit(c Completion) (*sequence, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,8 +218,8 @@
 		}
 		s.fencing = max(s.fencing, c.Fencing)
 	}
-	s.arrivals++
-	q := &sequence{id: s.arrivals, priority: c.Priority, max: c.MaxTokens, tokens: make(chan string, 64)}
+	s.lastSequenceID++
+	q := &sequence{id: s.lastSequenceID, priority: c.Priority, max: c.MaxTokens, tokens: make(chan string, 64)}
 	prefillTokens := len(strings.Fields(c.Prompt)) + len(c.Prefix)
 	if s.cache.touch(cacheKey(c.Model, c.Prompt)) {
 		s.stats.cacheHits.Add(1)
@@ -266,11 +271,11 @@
 		return
 	}
 	defer s.cancel(q)
-	fl, _ := w.(http.Flusher)
+	flusher, _ := w.(http.Flusher)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	if fl != nil {
-		fl.Flush()
+	if flusher != nil {
+		flusher.Flush()
 	}
 	id := fmt.Sprintf("cmpl-%s-%d", s.cfg.Name, q.id)
 	for {
@@ -280,15 +285,15 @@
 		case tok, ok := <-q.tokens:
 			if !ok {
 				fmt.Fprint(w, "data: [DONE]\n\n")
-				if fl != nil {
-					fl.Flush()
+				if flusher != nil {
+					flusher.Flush()
 				}
 				return
 			}
 			b, _ := json.Marshal(Chunk{ID: id, Object: "text_completion", Choices: []Choice{{Text: tok}}})
 			fmt.Fprintf(w, "data: %s\n\n", b)
-			if fl != nil && len(q.tokens) == 0 {
-				fl.Flush()
+			if flusher != nil && len(q.tokens) == 0 {
+				flusher.Flush()
 			}
 		}
 	}
