--- a/handlers/caller.go
+++ b/handlers/caller.go
@@ -167,7 +167,7 @@
 	case errors.Is(err, entry.ErrNoTarget), errors.Is(err, entry.ErrNotRun):
 		writeError(w, http.StatusServiceUnavailable, err.Error(), true, c.retryAfter())
 	default:
-		// A repeatable call has failed. It may have run.
+		// A repeatable call has failed and may have run.
 		writeError(w, http.StatusBadGateway, err.Error(), false, c.retryAfter())
 	}
 }
@@ -185,13 +185,13 @@
 }
 
 func countWords(s string) int {
-	n, in := 0, false
+	n, inWord := 0, false
 	for i := 0; i < len(s); i++ {
-		sp := s[i] == ' ' || s[i] == '\n' || s[i] == '\t' || s[i] == '\r'
-		if !sp && !in {
+		isSpace := s[i] == ' ' || s[i] == '\n' || s[i] == '\t' || s[i] == '\r'
+		if !isSpace && !inWord {
 			n++
 		}
-		in = !sp
+		inWord = !isSpace
 	}
 	return n
 }
--- a/handlers/caller_test.go
+++ b/handlers/caller_test.go
@@ -92,7 +92,7 @@
 }
 
 // Without a target a request must be rejected at once, with a Retry-After header.
-func TestNoTargetRefusedAtOnce(t *testing.T) {
+func TestNoTargetRejectedAtOnce(t *testing.T) {
 	_, url := startCallerAPI(t, false)
 	t0 := time.Now()
 	resp := post(t, url+"/v1/generate", "n1", `{"org":"o","model":"m","maxTokens":5}`)
--- a/handlers/debug.go
+++ b/handlers/debug.go
@@ -35,13 +35,13 @@
 	}
 )
 
-// fault exits the process without cleanup, for the load tool's killEntry.
+// fault exits the process without cleanup; the load tool's killEntry requests it.
 func (d debugAPI) fault(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var f struct {
 		Kind string `json:"kind"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil || f.Kind != "die" {
-		writeError(w, http.StatusBadRequest, "bad fault: the one kind is die", false, 0)
+		writeError(w, http.StatusBadRequest, "bad fault: the only kind is die", false, 0)
 		return
 	}
 	os.Exit(3)
