--- a/entry/agents.go
+++ b/entry/agents.go
@@ -27,13 +27,13 @@
 )
 
 type (
-	// target is what the lease row and the agent of a target say about it.
+	// target is the state of a target by its lease row and its agent's reports.
 	target struct {
 		lease       agent.LeaseValue
 		leaseSeenAt time.Time  // when a valid lease row was last read
 		agentConn   *agentConn // nil while its agent is not connected
 		isDialing   bool
-		isHealthy   bool // by the agent's last report
+		isHealthy   bool // in the agent's last load report
 	}
 
 	// agentConn is the connection to one agent, with a queue of replies for
@@ -98,7 +98,7 @@
 	if err != nil {
 		// While the store is unavailable, the known targets stay; lost
 		// connections show which agents have crashed.
-		e.log.Debug().Err(err).Msg("entry: target list not refreshed")
+		e.log.Debug().Err(err).Msg("entry: cannot read the lease rows; keeping the known targets")
 		return
 	}
 	now := time.Now()
@@ -257,8 +257,8 @@
 	return t.agentConn, t.lease.Epoch, nil
 }
 
-// KnowsAll reports whether the entry instance is connected to at least n agents.
-func (e *Entry) KnowsAll(n int) bool {
+// ConnectedToAtLeast reports whether the entry instance is connected to at least n agents.
+func (e *Entry) ConnectedToAtLeast(n int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.countConnected() >= n
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -31,7 +31,7 @@
 		}
 		n := len(nextTokens(b, s, 0))
 		for _, e := range d.Engines {
-			e.Kill()
+			e.CloseConnections()
 		}
 		killed := time.Now()
 		toks, done, err := s.Next(ctx, n)
@@ -43,7 +43,7 @@
 		}
 		total += time.Since(killed)
 		nextTokens(b, s, 0)
-		drain(b, s)
+		readToEnd(b, s)
 	}
 	b.ReportMetric(float64(total.Microseconds())/1000/float64(b.N), "ms/resume")
 }
@@ -58,7 +58,7 @@
 	return toks
 }
 
-func drain(tb testing.TB, s interface {
+func readToEnd(tb testing.TB, s interface {
 	Next(context.Context, int) ([]ragworthitch.Token, bool, error)
 }) int {
 	n := 0
@@ -89,9 +89,9 @@
 					b.Fatal(err)
 				}
 				wg.Add(1)
-				go func() { defer wg.Done(); drainUntilCancelled(ctx, s) }()
+				go func() { defer wg.Done(); readUntilCancelled(ctx, s) }()
 			}
-			lat := make([]float64, 0, b.N)
+			latenciesMs := make([]float64, 0, b.N)
 			b.ResetTimer()
 			for i := range b.N {
 				req := ragworthitch.NewRequest(ragworthitch.RequestParams{ID: fmt.Sprintf("s%d", i), Org: "o", Kind: ragworthitch.KindShort, Op: "status"})
@@ -99,18 +99,18 @@
 				if _, err := d.Entry.Call(ctx, req); err != nil {
 					b.Fatal(err)
 				}
-				lat = append(lat, float64(time.Since(t0).Microseconds())/1000)
+				latenciesMs = append(latenciesMs, float64(time.Since(t0).Microseconds())/1000)
 			}
 			b.StopTimer()
 			cancel()
-			sort.Float64s(lat)
-			b.ReportMetric(lat[len(lat)/2], "p50-ms")
-			b.ReportMetric(lat[len(lat)*99/100], "p99-ms")
+			sort.Float64s(latenciesMs)
+			b.ReportMetric(latenciesMs[len(latenciesMs)/2], "p50-ms")
+			b.ReportMetric(latenciesMs[len(latenciesMs)*99/100], "p99-ms")
 		})
 	}
 }
 
-func drainUntilCancelled(ctx context.Context, s interface {
+func readUntilCancelled(ctx context.Context, s interface {
 	Next(context.Context, int) ([]ragworthitch.Token, bool, error)
 }) {
 	n := 0
@@ -130,12 +130,12 @@
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
 			d := rwtest.StartDeployment(b, rwtest.DeploymentOptions{Engines: 4, StepMs: 1, Batch: 256})
 			ctx := context.Background()
-			per := 400
+			tokensPerStream := 400
 			var ms runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&ms)
-			heap0 := ms.HeapInuse
-			cpu0 := cpuTime()
+			heapBefore := ms.HeapInuse
+			cpuBefore := cpuTime()
 			b.ResetTimer()
 			tokens := 0
 			var peak uint64
@@ -143,14 +143,14 @@
 				var wg sync.WaitGroup
 				var mu sync.Mutex
 				for j := range streams {
-					s, err := d.Entry.Generate(ctx, longRequest(fmt.Sprintf("p%d-%d", i, j), per), "a prompt")
+					s, err := d.Entry.Generate(ctx, longRequest(fmt.Sprintf("p%d-%d", i, j), tokensPerStream), "a prompt")
 					if err != nil {
 						b.Fatal(err)
 					}
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						n := drain(b, s)
+						n := readToEnd(b, s)
 						mu.Lock()
 						tokens += n
 						mu.Unlock()
@@ -161,12 +161,12 @@
 				peak = max(peak, ms.HeapInuse)
 			}
 			b.StopTimer()
-			cpu := cpuTime() - cpu0
+			cpu := cpuTime() - cpuBefore
 			b.ReportMetric(float64(cpu.Nanoseconds())/float64(tokens)/1000, "cpu-us/token")
-			if peak > heap0 {
+			if peak > heapBefore {
 				// Finished streams are kept for reconnects, so the heap holds
 				// every stream.
-				b.ReportMetric(float64(peak-heap0)/float64(streams*b.N)/1024, "heap-KiB/stream")
+				b.ReportMetric(float64(peak-heapBefore)/float64(streams*b.N)/1024, "heap-KiB/stream")
 			}
 		})
 	}
--- a/entry/call.go
+++ b/entry/call.go
@@ -18,7 +18,7 @@
 
 // Claims of non-repeatable calls: the prefix of their rows and their states.
 const (
-	claimTable    = "once/"
+	claimPrefix   = "once/"
 	stateClaimed  = "claimed"
 	stateDone     = "done"
 	stateReleased = "released"
@@ -47,7 +47,7 @@
 
 // Call runs a plain service call. A repeatable call that fails is retried at
 // another target. A non-repeatable call is claimed in the store first and runs
-// only if the claim is its own; a later call with the same key gets the
+// only if no other call holds the claim; a later call with the same key gets the
 // recorded answer. The error wraps ErrNotRun if the call certainly did not run.
 // It wraps ErrUnknownOutcome if the call may have run; no call runs again under
 // that key.
@@ -64,7 +64,7 @@
 }
 
 func (e *Entry) callRepeatable(ctx context.Context, req ragworthitch.Request) (Answer, error) {
-	text, err := e.send(ctx, req, safePath)
+	text, err := e.runCall(ctx, req, repeatablePath)
 	switch {
 	case errors.Is(err, ErrNotRun):
 		return Answer{}, fmt.Errorf("%w: %v", ErrNoTarget, err)
@@ -74,26 +74,26 @@
 	return Answer{Text: text}, nil
 }
 
-// send runs a call at a target. The error wraps ErrNotRun if the call certainly
+// runCall runs a call at a target. The error wraps ErrNotRun if the call certainly
 // did not run, else ErrUnknownOutcome.
-func (e *Entry) send(ctx context.Context, req ragworthitch.Request, path string) (string, error) {
+func (e *Entry) runCall(ctx context.Context, req ragworthitch.Request, path string) (string, error) {
 	var r callResponse
 	c := &ingress.Call{ID: req.ID(), Method: http.MethodPost, Path: path + req.Op(), Key: req.Org(),
 		Header: http.Header{headerIdempotencyKey: {req.IdempotencyKey()}}, Received: clock.Now()}
-	switch whole := e.calls.ServeWhole(ctx, &r, c); {
-	case !whole:
-		return "", fmt.Errorf("%w: the caller left", ErrUnknownOutcome)
+	switch complete := e.callHandler.ServeWhole(ctx, &r, c); {
+	case !complete:
+		return "", fmt.Errorf("%w: the call ended before its answer was complete", ErrUnknownOutcome)
 	case r.status == http.StatusOK:
 		return r.body.String(), nil
 	case r.status == http.StatusServiceUnavailable:
-		return "", fmt.Errorf("%w: no target took the call", ErrNotRun)
+		return "", fmt.Errorf("%w: no target accepted the call", ErrNotRun)
 	default:
 		return "", fmt.Errorf("%w: %s", ErrUnknownOutcome, http.StatusText(r.status))
 	}
 }
 
 func (e *Entry) callNonRepeatable(ctx context.Context, req ragworthitch.Request) (Answer, error) {
-	key := claimTable + req.IdempotencyKey()
+	key := claimPrefix + req.IdempotencyKey()
 	claim := e.self.Name + "/" + req.ID() + "/" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	row, err := e.claim(ctx, key, claim, req.ID())
 	if err != nil {
@@ -108,7 +108,7 @@
 	case cur.Claim != claim:
 		return Answer{}, fmt.Errorf("%w: key %s is claimed by another call that has not finished", ErrUnknownOutcome, req.IdempotencyKey())
 	}
-	text, err := e.send(ctx, req, unsafePath)
+	text, err := e.runCall(ctx, req, nonRepeatablePath)
 	if err != nil {
 		state := stateUnknown
 		if errors.Is(err, ErrNotRun) {
@@ -141,10 +141,10 @@
 				return got, nil // callNonRepeatable checks whose claim it is
 			case errors.Is(gerr, platform.ErrNotFound):
 				e.stats.CallsNotRun.Add(1)
-				return platform.Row{}, fmt.Errorf("%w: the table did not take the claim", ErrNotRun)
+				return platform.Row{}, fmt.Errorf("%w: the store has no claim row after a failed write", ErrNotRun)
 			default:
 				e.stats.CallsNotRun.Add(1)
-				return platform.Row{}, fmt.Errorf("%w: the table is unavailable: %v", ErrNotRun, err)
+				return platform.Row{}, fmt.Errorf("%w: the store is unavailable: %v", ErrNotRun, err)
 			}
 		}
 		if !errors.Is(err, platform.ErrConflict) {
@@ -159,14 +159,14 @@
 		}
 		ifVersion = row.Version // a released claim may be claimed again
 	}
-	return platform.Row{}, fmt.Errorf("%w: claim raced too often", ErrNotRun)
+	return platform.Row{}, fmt.Errorf("%w: each write of the claim conflicted with another write", ErrNotRun)
 }
 
 // decodeClaim decodes a claim row. An invalid row may belong to any call, so the
 // error wraps ErrUnknownOutcome and no call runs under its key.
 func decodeClaim(row platform.Row) (v claimRow, err error) {
 	if err := json.Unmarshal(row.Value, &v); err != nil {
-		return v, fmt.Errorf("%w: claim row %s not understood: %v", ErrUnknownOutcome, row.Key, err)
+		return v, fmt.Errorf("%w: invalid claim row %s: %v", ErrUnknownOutcome, row.Key, err)
 	}
 	return v, nil
 }
@@ -180,8 +180,7 @@
 			e.stats.TableWrites.Add(1)
 			_, err := e.store.Put(ctx, key, version, v, 0)
 			cancel()
-			// After a write without an answer, the next write conflicts with
-			// the version that the first one left.
+			// A conflict means that an earlier write succeeded without an answer.
 			if err == nil || errors.Is(err, platform.ErrConflict) {
 				if i > 0 {
 					e.stats.CallsRecovered.Add(1)
--- a/entry/call_test.go
+++ b/entry/call_test.go
@@ -65,16 +65,16 @@
 
 // A call that a draining target rejects is reported as not run, and its key can
 // run later.
-func TestRefusedCallRunsLater(t *testing.T) {
+func TestRejectedCallRunsLater(t *testing.T) {
 	p, svc, e := startEntryWithService(t)
-	svc.Busy.Store(true)
+	svc.RejectsCalls.Store(true)
 	_, err := e.Call(context.Background(), quote("q1", "k3"))
 	assert.ErrorIs(t, err, entry.ErrNotRun)
 	require.Eventually(t, func() bool {
 		r, ok := p.StandIn.Get("once/k3")
 		return ok && strings.Contains(string(r.Value), `"state":"released"`)
 	}, time.Second, 10*time.Millisecond, "the claim was not released")
-	svc.Busy.Store(false)
+	svc.RejectsCalls.Store(false)
 	_, err = e.Call(context.Background(), quote("q2", "k3"))
 	require.NoError(t, err)
 	assert.Equal(t, 1, svc.Runs("k3"))
@@ -84,7 +84,7 @@
 // caller may retry.
 func TestRepeatableCallFailed(t *testing.T) {
 	_, svc, e := startEntryWithService(t)
-	svc.Broken.Store(true)
+	svc.FailsCalls.Store(true)
 	_, err := e.Call(context.Background(), ragworthitch.NewRequest(ragworthitch.RequestParams{ID: "s1", Org: "o", Kind: ragworthitch.KindShort, Op: "status"}))
 	assert.ErrorIs(t, err, entry.ErrFailed)
 	assert.NotErrorIs(t, err, entry.ErrUnknownOutcome)
--- a/entry/checkpoint.go
+++ b/entry/checkpoint.go
@@ -13,11 +13,11 @@
 )
 
 // A stream's request is stored once and its tokens in batches, so that any entry
-// instance can continue the stream after a crash of its own.
+// instance can continue the stream after the instance that ran it has crashed.
 const (
-	promptObject    = "prompt/"
-	tokensObject    = "tokens/"
-	entryLeaseTable = "entry/"
+	promptPrefix     = "prompt/"
+	tokensPrefix     = "tokens/"
+	entryLeasePrefix = "entry/"
 	// A checkpoint is due after checkpointTokens or checkpointInterval,
 	// whichever comes first.
 	checkpointTokens   = 32
@@ -42,10 +42,10 @@
 	}
 )
 
-// renewLease renews this entry instance's lease row until ctx ends. Peers take
+// keepLease renews this entry instance's lease row until ctx ends. Peers take
 // over streams of an instance whose lease has expired.
-func (e *Entry) renewLease(ctx context.Context) error {
-	key := entryLeaseTable + e.self.Name
+func (e *Entry) keepLease(ctx context.Context) error {
+	key := entryLeasePrefix + e.self.Name
 	ttl := settings.Ms(e.cfg.Timeouts.LeaseMs)
 	var version int64
 	held := true // so that a failure of the first renewal is logged
@@ -58,7 +58,7 @@
 		}
 		if ok := err == nil; ok != held && ctx.Err() == nil {
 			held = ok
-			e.log.Warn().Bool("renewed", ok).Int64("version", version).AnErr("cause", err).Msg("entry: lease renewal changed")
+			e.log.Warn().Bool("renewed", ok).Int64("version", version).AnErr("cause", err).Msg("entry: lease renewal failed or succeeded again")
 		}
 		select {
 		case <-ctx.Done():
@@ -72,7 +72,7 @@
 func (s *Stream) savePrompt(ctx context.Context) {
 	v := promptCheckpoint{Org: s.req.Org(), Model: s.req.Model(), Prompt: s.prompt, MaxTokens: s.req.MaxTokens(),
 		Seed: s.req.Seed(), Priority: s.req.Priority()}
-	if err := s.putObject(ctx, promptObject, v); err != nil {
+	if err := s.putObject(ctx, promptPrefix, v); err != nil {
 		return
 	}
 	s.mu.Lock()
@@ -80,32 +80,32 @@
 	s.mu.Unlock()
 }
 
-// maybeCheckpoint starts writing a checkpoint of the tokens if one is due and
+// checkpointIfDue starts writing a checkpoint of the tokens if one is due and
 // no write is in progress. The stream doesn't wait for the write. The caller
 // holds s.mu.
-func (s *Stream) maybeCheckpoint(final bool) {
+func (s *Stream) checkpointIfDue(final bool) {
 	n := len(s.tokens)
-	if s.isSaving || n == s.savedTokens || (!final && n-s.savedTokens < checkpointTokens && time.Since(s.savedAt) < checkpointInterval) {
+	if s.isCheckpointing || n == s.checkpointedTokens || (!final && n-s.checkpointedTokens < checkpointTokens && time.Since(s.checkpointedAt) < checkpointInterval) {
 		return
 	}
 	v := tokensCheckpoint{Tokens: make([]string, n), Attempts: make([]int, n)}
 	for i, t := range s.tokens {
 		v.Tokens[i], v.Attempts[i] = t.Text(), t.Attempt()
 	}
-	s.isSaving = true
+	s.isCheckpointing = true
 	go func() {
 		ctx, cancel := context.WithTimeout(s.e.streamContext(), storeTimeout)
-		err := s.putObject(ctx, tokensObject, v)
+		err := s.putObject(ctx, tokensPrefix, v)
 		cancel()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.isSaving = false
+		s.isCheckpointing = false
 		if err != nil {
 			return
 		}
-		s.savedTokens, s.savedAt = n, time.Now()
+		s.checkpointedTokens, s.checkpointedAt = n, time.Now()
 		if s.isDone {
-			s.maybeCheckpoint(true)
+			s.checkpointIfDue(true)
 		}
 	}()
 }
@@ -126,7 +126,7 @@
 // loadTokens reads the tokens of a stream's checkpoint. It returns none if there
 // is no valid checkpoint.
 func (e *Entry) loadTokens(ctx context.Context, id string) (v tokensCheckpoint) {
-	b, err := e.store.GetObject(ctx, tokensObject+id)
+	b, err := e.store.GetObject(ctx, tokensPrefix+id)
 	if err == nil {
 		err = json.Unmarshal(b, &v)
 	}
@@ -141,7 +141,7 @@
 // with the next attempt number. It fails if the lease of that instance is valid.
 // The first attempt claims the request row with a conditional write.
 func (e *Entry) takeOver(ctx context.Context, id string) (*Stream, error) {
-	row, err := e.store.Get(ctx, requestTable+id)
+	row, err := e.store.Get(ctx, requestPrefix+id)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %v", ErrUnknownStream, id, err)
 	}
@@ -150,12 +150,12 @@
 		return nil, fmt.Errorf("%w: %s: bad row", ErrUnknownStream, id)
 	}
 	if request.State == "running" {
-		lease, err := e.store.Get(ctx, entryLeaseTable+request.Entry)
+		lease, err := e.store.Get(ctx, entryLeasePrefix+request.Entry)
 		if err == nil && !lease.Expired && request.Entry != e.self.Name {
-			return nil, fmt.Errorf("%w: %s is driven by %s", ErrOwnedElsewhere, id, request.Entry)
+			return nil, fmt.Errorf("%w: stream %s runs at %s", ErrOwnedElsewhere, id, request.Entry)
 		}
 	}
-	promptBytes, err := e.store.GetObject(ctx, promptObject+id)
+	promptBytes, err := e.store.GetObject(ctx, promptPrefix+id)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: no prompt checkpoint: %v", ErrUnknownStream, id, err)
 	}
@@ -174,9 +174,9 @@
 		}
 		s.tokens = append(s.tokens, ragworthitch.NewToken(i, a, t))
 	}
-	s.savedTokens = len(s.tokens)
+	s.checkpointedTokens = len(s.tokens)
 	s.isPromptSaved = true
-	s.version, s.attempt = row.Version, request.Attempt
+	s.rowVersion, s.attempt = row.Version, request.Attempt
 	s.isDone = len(s.tokens) >= prompt.MaxTokens
 	if !e.register(s) {
 		// A concurrent reconnect has taken the stream over.
@@ -190,7 +190,7 @@
 		return s, nil
 	}
 	e.stats.Streams.Add(1)
-	e.stats.Adopted.Add(1)
+	e.stats.TakenOver.Add(1)
 	e.log.Info().Str("request", id).Str("from", request.Entry).Int("offset", len(s.tokens)).
 		Msgf("resume: stream %s taken over from %s at offset %d", id, request.Entry, len(s.tokens))
 	s.interruptedAt = time.Now()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -48,7 +48,7 @@
 	// ErrUnknownStream is returned when there is no stream with a request id.
 	ErrUnknownStream = errors.New("entry: unknown stream")
 	// ErrOwnedElsewhere is returned when a peer runs the stream.
-	ErrOwnedElsewhere = errors.New("entry: stream driven by another entry")
+	ErrOwnedElsewhere = errors.New("entry: stream runs at another entry instance")
 )
 
 type (
@@ -59,7 +59,7 @@
 		log            zerolog.Logger
 		store          *platform.Client
 		scope          tally.Scope
-		calls          *ingress.Handler
+		callHandler    *ingress.Handler
 		members        registry.Registry // targets whose agents are connected
 		cacheLocations recall.Recall
 
@@ -72,7 +72,7 @@
 		ready   atomic.Bool
 
 		ctxMu sync.Mutex
-		ctx   context.Context
+		ctx   context.Context // of Run; nil before Run
 	}
 
 	// Stats are counters since the start of the process.
@@ -89,12 +89,12 @@
 		ResumeCount    atomic.Int64
 		CallsNotRun    atomic.Int64
 		CallsRecovered atomic.Int64
-		Adopted        atomic.Int64
+		TakenOver      atomic.Int64
 	}
 
 	streamShard struct {
-		mu sync.Mutex
-		m  map[string]*Stream
+		mu   sync.Mutex
+		byID map[string]*Stream
 	}
 )
 
@@ -113,7 +113,7 @@
 	}
 	e := &Entry{cfg: cfg, self: self, log: log, scope: scope,
 		store: platform.NewClient(cfg.Platform.Listen, storeTimeout), targets: map[string]*target{}}
-	e.calls = ingress.New(ingress.Config{Zone: self.Zone, Book: desiredState, Targets: &e.members, Recall: &e.cacheLocations,
+	e.callHandler = ingress.New(ingress.Config{Zone: self.Zone, Book: desiredState, Targets: &e.members, Recall: &e.cacheLocations,
 		Budget: budget.New(retryLimit, nil), Sender: sender{e}, Await: settings.Ms(cfg.Timeouts.StallMs), Log: log, Scope: scope})
 	return e, nil
 }
@@ -134,7 +134,7 @@
 func (e *Entry) Ready() bool { return e.ready.Load() }
 
 // streamContext returns the context of streams. They outlive the caller's
-// request and end with Run.
+// request; the context ends with Run.
 func (e *Entry) streamContext() context.Context {
 	e.ctxMu.Lock()
 	defer e.ctxMu.Unlock()
@@ -150,7 +150,7 @@
 	e.ctx = ctx
 	e.ctxMu.Unlock()
 	p := pool.New().WithContext(ctx)
-	p.Go(e.renewLease)
+	p.Go(e.keepLease)
 	p.Go(func(ctx context.Context) error {
 		t := time.NewTicker(settings.Ms(e.cfg.Timeouts.RefreshMs))
 		defer t.Stop()
@@ -170,7 +170,7 @@
 	sh := &e.streams[shardIndex(id)]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	return sh.m[id]
+	return sh.byID[id]
 }
 
 func shardIndex(id string) int {
--- a/entry/record.go
+++ b/entry/record.go
@@ -24,19 +24,19 @@
 func (s *Stream) writeRow(ctx context.Context, state string) error {
 	s.mu.Lock()
 	row := requestRow{Entry: s.e.self.Name, Attempt: s.attempt, Target: s.target, Delivered: len(s.tokens), State: state}
-	version := s.version
+	version := s.rowVersion
 	s.mu.Unlock()
 	s.e.stats.TableWrites.Add(1)
 	wctx, cancel := context.WithTimeout(ctx, rowWriteTimeout)
 	defer cancel()
-	r, err := s.e.store.Put(wctx, requestTable+s.req.ID(), version, row, 0)
+	r, err := s.e.store.Put(wctx, requestPrefix+s.req.ID(), version, row, 0)
 	if errors.Is(err, platform.ErrConflict) && isOwnRow(r.Value, s.e.self.Name) {
 		// An earlier write of this instance succeeded without an answer.
-		r, err = s.e.store.Put(wctx, requestTable+s.req.ID(), r.Version, row, 0)
+		r, err = s.e.store.Put(wctx, requestPrefix+s.req.ID(), r.Version, row, 0)
 	}
 	if errors.Is(err, platform.ErrUnavailable) {
 		// The write may have succeeded.
-		got, gerr := s.e.store.Get(wctx, requestTable+s.req.ID())
+		got, gerr := s.e.store.Get(wctx, requestPrefix+s.req.ID())
 		if gerr == nil && got.Version > version && isSameRow(got.Value, row) {
 			r, err = got, nil
 		}
@@ -52,7 +52,7 @@
 		return err
 	}
 	s.mu.Lock()
-	s.version = r.Version
+	s.rowVersion = r.Version
 	if s.pendingState == state {
 		s.isRowPending = false
 	}
@@ -68,15 +68,15 @@
 	defer t.Stop()
 	for {
 		s.mu.Lock()
-		prompt, dirty, state, done := !s.isPromptSaved, s.isRowPending, s.pendingState, s.isDone
+		promptPending, rowPending, state, done := !s.isPromptSaved, s.isRowPending, s.pendingState, s.isDone
 		s.mu.Unlock()
-		if !prompt && !dirty && done {
+		if !promptPending && !rowPending && done {
 			return
 		}
-		if prompt {
+		if promptPending {
 			s.savePrompt(ctx)
 		}
-		if dirty {
+		if rowPending {
 			s.writeRow(ctx, state)
 		}
 		select {
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -13,17 +13,17 @@
 
 // Prefixes of the paths by which calls are routed within the instance.
 const (
-	generatePath = "/generate/" // followed by the model
-	safePath     = "/call/safe/"
-	unsafePath   = "/call/once/"
+	generatePath      = "/generate/" // followed by the model
+	repeatablePath    = "/call/safe/"
+	nonRepeatablePath = "/call/once/"
 )
 
 const (
-	maxAttempts  = 6 // of a stream
-	safeAttempts = 3 // of a repeatable call
-	// latencyTargetShare is the latency objective of a repeatable call, as a
-	// share of its timeout.
-	latencyTargetShare = 1.0 / 3
+	maxAttempts     = 6 // of a stream
+	maxCallAttempts = 3 // of a repeatable call
+	// objectiveShare is the latency objective of a repeatable call, as a share
+	// of the call's timeout.
+	objectiveShare = 1.0 / 3
 	// streamTimeout is well above the 11 minutes that the longest answer (16,384
 	// tokens) takes at 40 ms a token.
 	streamTimeout = time.Hour
@@ -46,9 +46,9 @@
 	}
 	p.Services = append(p.Services, ragworthitch.NewService(ragworthitch.ServiceParams{Name: settings.KindService}))
 	p.Routes = append(p.Routes,
-		ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "safe calls", Prefix: safePath, Kind: ragworthitch.CallSafe,
-			Timeout: short, Target: time.Duration(latencyTargetShare * float64(short)), Shares: fullShare(settings.KindService), MaxTargets: safeAttempts}),
-		ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "calls that run once", Prefix: unsafePath, Kind: ragworthitch.CallUnsafe,
+		ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "safe calls", Prefix: repeatablePath, Kind: ragworthitch.CallSafe,
+			Timeout: short, Target: time.Duration(objectiveShare * float64(short)), Shares: fullShare(settings.KindService), MaxTargets: maxCallAttempts}),
+		ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "calls that run once", Prefix: nonRepeatablePath, Kind: ragworthitch.CallUnsafe,
 			Timeout: short, Shares: fullShare(settings.KindService), MaxTargets: 1}))
 	for _, o := range cfg.Orgs {
 		// An organisation's name serves as its key, because Call and Generate
--- a/entry/sender.go
+++ b/entry/sender.go
@@ -18,7 +18,7 @@
 )
 
 var (
-	errRowTaken      = errors.New("entry: request row taken over by another entry instance")
+	errRowTaken      = errors.New("entry: stream taken over by another entry instance")
 	errTruncated     = errors.New("entry: the target ended the answer early")
 	errMissingTokens = errors.New("entry: missing tokens")
 )
@@ -33,9 +33,9 @@
 		return nil, err
 	}
 	if strings.HasPrefix(o.Call.Path, generatePath) {
-		return s.sendAttempt(ctx, o, ac, epoch)
+		return s.sendStreamAttempt(ctx, o, ac, epoch)
 	}
-	return s.sendCall(ctx, o, ac, epoch)
+	return s.sendCallAttempt(ctx, o, ac, epoch)
 }
 
 // Probe reports whether a target's agent is connected.
@@ -44,8 +44,8 @@
 	return err
 }
 
-// sendCall sends a plain call and waits for its result.
-func (s sender) sendCall(ctx context.Context, o *ingress.Order, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
+// sendCallAttempt sends a plain call and waits for its result.
+func (s sender) sendCallAttempt(ctx context.Context, o *ingress.Order, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
 	k := attemptKey{o.Call.ID, int(s.e.callSeq.Add(1))}
 	q := ac.open(k)
 	defer ac.close(k)
@@ -69,10 +69,10 @@
 	return nil, fmt.Errorf("%w: %s", upstream.ErrSent, r.Reason)
 }
 
-// sendAttempt sends one attempt of a stream. It writes the request row first, so
+// sendStreamAttempt sends one attempt of a stream. It writes the request row first, so
 // that an entry instance starts no attempt of a stream that a peer has taken
 // over.
-func (s sender) sendAttempt(ctx context.Context, o *ingress.Order, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
+func (s sender) sendStreamAttempt(ctx context.Context, o *ingress.Order, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
 	st := s.e.stream(o.Call.ID)
 	if st == nil {
 		return nil, fmt.Errorf("%w: stream %s has ended", upstream.ErrNotSent, o.Call.ID)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -19,7 +19,7 @@
 
 const (
 	finishedStreamTTL = time.Minute // for reconnects
-	requestTable      = "req/"
+	requestPrefix     = "req/"
 	sharedPrefixWords = 64 // leading words of a prompt that identify its cached prefix
 
 	// States of a request row, besides stateDone.
@@ -40,25 +40,25 @@
 		started   chan struct{}      // closed when the first attempt starts, or when there is no target
 		startOnce sync.Once          // closes started
 
-		mu            sync.Mutex
-		header        http.Header
-		status        int
-		tokens        []ragworthitch.Token
-		firstAttempt  int // number of the first attempt by this instance
-		attempt       int
-		err           error
-		isDone        bool
-		changed       chan struct{}
-		version       int64
-		interruptedAt time.Time // when the last attempt was interrupted; zero while tokens arrive
-		isSaving      bool
-		savedTokens   int
-		savedAt       time.Time
+		mu                 sync.Mutex
+		header             http.Header
+		status             int
+		tokens             []ragworthitch.Token
+		firstAttempt       int // number of the first attempt by this instance
+		attempt            int // number of the latest attempt
+		err                error
+		isDone             bool
+		changed            chan struct{} // closed and replaced when a token arrives or the stream ends
+		rowVersion         int64         // of the request row at the last write or takeover
+		interruptedAt      time.Time     // when the last attempt was interrupted; zero while tokens arrive
+		isCheckpointing    bool          // a write of the token checkpoint is in progress
+		checkpointedTokens int
+		checkpointedAt     time.Time
 
 		isPromptSaved bool
 		isRowPending  bool   // the last write of the request row failed
 		pendingState  string // the state in that write
-		target        string
+		target        string // of the latest attempt
 	}
 
 	// requestRow is the value of a request row.
@@ -116,13 +116,13 @@
 	sh := &e.streams[shardIndex(s.req.ID())]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if sh.m == nil {
-		sh.m = map[string]*Stream{}
+	if sh.byID == nil {
+		sh.byID = map[string]*Stream{}
 	}
-	if _, ok := sh.m[s.req.ID()]; ok {
+	if _, ok := sh.byID[s.req.ID()]; ok {
 		return false
 	}
-	sh.m[s.req.ID()] = s
+	sh.byID[s.req.ID()] = s
 	return true
 }
 
@@ -131,8 +131,8 @@
 	sh := &e.streams[shardIndex(s.req.ID())]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if sh.m[s.req.ID()] == s {
-		delete(sh.m, s.req.ID())
+	if sh.byID[s.req.ID()] == s {
+		delete(sh.byID, s.req.ID())
 	}
 }
 
@@ -199,19 +199,19 @@
 	}
 	go func() {
 		defer cancel()
-		whole := s.e.calls.ServeWhole(ctx, s, c)
-		s.handleRunEnd(ctx, whole)
+		complete := s.e.callHandler.ServeWhole(ctx, s, c)
+		s.handleRunEnd(ctx, complete)
 	}()
 }
 
 // handleRunEnd finishes a stream after its last attempt.
-func (s *Stream) handleRunEnd(ctx context.Context, whole bool) {
+func (s *Stream) handleRunEnd(ctx context.Context, complete bool) {
 	defer s.startOnce.Do(func() { close(s.started) })
 	s.mu.Lock()
 	status := s.status
 	s.mu.Unlock()
 	switch {
-	case whole && status == http.StatusOK:
+	case complete && status == http.StatusOK:
 		s.finish(nil)
 		s.writeRow(s.e.streamContext(), stateDone)
 	case s.e.streamContext().Err() != nil:
@@ -282,7 +282,7 @@
 	defer s.mu.Unlock()
 	s.tokens = append(s.tokens, ragworthitch.NewToken(len(s.tokens), s.attempt, string(token)))
 	s.e.stats.Delivered.Add(1)
-	s.maybeCheckpoint(false)
+	s.checkpointIfDue(false)
 	if !s.interruptedAt.IsZero() {
 		d := time.Since(s.interruptedAt)
 		s.e.stats.ResumeNanos.Add(int64(d))
@@ -301,7 +301,7 @@
 	s.mu.Lock()
 	s.isDone, s.err = true, err
 	s.notify()
-	s.maybeCheckpoint(true)
+	s.checkpointIfDue(true)
 	s.mu.Unlock()
 	s.e.scope.Counter("tokensDelivered").Inc(int64(s.deliveredTokens()))
 	time.AfterFunc(finishedStreamTTL, func() { s.e.unregister(s) })
--- a/entry/stream_test.go
+++ b/entry/stream_test.go
@@ -61,7 +61,7 @@
 func TestStaleAttemptIsNotMixed(t *testing.T) {
 	p := rwtest.StartPlatform(t)
 	stall := make(chan struct{})
-	stalling := &rwtest.FakeAgent{Name: "a", Step: time.Millisecond, Hook: func(m wire.Message, off int) rwtest.Action {
+	stalling := &rwtest.FakeAgent{Name: "a", EventInterval: time.Millisecond, Hook: func(m wire.Message, off int) rwtest.Action {
 		if m.Attempt == 1 && off == 20 {
 			<-stall // until the next attempt has started
 		}
@@ -70,7 +70,7 @@
 		}
 		return rwtest.Action{}
 	}}
-	other := &rwtest.FakeAgent{Name: "b", Step: time.Millisecond, Hook: func(m wire.Message, off int) rwtest.Action {
+	other := &rwtest.FakeAgent{Name: "b", EventInterval: time.Millisecond, Hook: func(m wire.Message, off int) rwtest.Action {
 		if off == len(m.Prefix) {
 			close(stall)
 			return rwtest.Action{Delay: 50 * time.Millisecond}
--- a/rwtest/deployment.go
+++ b/rwtest/deployment.go
@@ -50,9 +50,9 @@
 	}
 )
 
-// Kill closes all connections of the engine, as a crash does. The engine keeps
+// CloseConnections closes all connections of the engine, as a crash does. The engine keeps
 // listening, as after a restart.
-func (e *EngineServer) Kill() {
+func (e *EngineServer) CloseConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := range e.conns {
@@ -153,7 +153,7 @@
 	go e.Run(ctx)
 	d.Entry = e
 	deadline := time.Now().Add(5 * time.Second)
-	for !e.Ready() || !e.KnowsAll(len(cfg.Targets)) {
+	for !e.Ready() || !e.ConnectedToAtLeast(len(cfg.Targets)) {
 		if time.Now().After(deadline) {
 			tb.Fatal("deployment not ready")
 		}
--- a/rwtest/rwtest.go
+++ b/rwtest/rwtest.go
@@ -27,17 +27,17 @@
 
 	// FakeAgent serves the wire protocol. For each Start message it continues the
 	// stand-in engine's deterministic token sequence after the prefix, with a
-	// pause of Step before each token. Hook, if set, is called before each
+	// pause of EventInterval before each token. Hook, if set, is called before each
 	// token and may stop the attempt, delay it or replace the token.
 	FakeAgent struct {
-		Name  string
-		Addr  string
-		Step  time.Duration
-		Hook  func(m wire.Message, offset int) Action
-		Epoch uint64
-		Busy  atomic.Bool // rejects calls before they run
-		// Broken makes calls fail without saying that they did not run.
-		Broken atomic.Bool
+		Name          string
+		Addr          string
+		EventInterval time.Duration
+		Hook          func(m wire.Message, offset int) Action
+		Epoch         uint64      // of the lease; 0: 1
+		RejectsCalls  atomic.Bool // calls are rejected before they run
+		// FailsCalls fails calls with a reply that does not state that they did not run.
+		FailsCalls atomic.Bool
 
 		mu     sync.Mutex
 		starts []wire.Message
@@ -99,11 +99,11 @@
 		if err != nil {
 			return
 		}
-		if m.Type == wire.TypeCall && a.Busy.Load() {
+		if m.Type == wire.TypeCall && a.RejectsCalls.Load() {
 			c.Send(ctx, wire.Message{Type: wire.TypeFail, RequestID: m.RequestID, Attempt: m.Attempt, Reason: "draining", NotRun: true})
 			continue
 		}
-		if m.Type == wire.TypeCall && a.Broken.Load() {
+		if m.Type == wire.TypeCall && a.FailsCalls.Load() {
 			c.Send(ctx, wire.Message{Type: wire.TypeFail, RequestID: m.RequestID, Attempt: m.Attempt, Reason: "broken"})
 			continue
 		}
@@ -148,7 +148,7 @@
 				text = action.Text
 			}
 		}
-		time.Sleep(a.Step)
+		time.Sleep(a.EventInterval)
 		if c.Send(ctx, wire.Message{Type: wire.TypeToken, RequestID: m.RequestID, Attempt: m.Attempt, Offset: offset, Text: text}) != nil {
 			return
 		}
