--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -65,16 +65,16 @@
 func (b *balancer) pick(rng *rand.Rand) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var healthy []int
+	var ready []int
 	for n, failures := range b.failures {
 		if failures < readyFailureThreshold {
-			healthy = append(healthy, n)
+			ready = append(ready, n)
 		}
 	}
-	if len(healthy) == 0 {
+	if len(ready) == 0 {
 		return rng.IntN(len(b.addrs))
 	}
-	return healthy[rng.IntN(len(healthy))]
+	return ready[rng.IntN(len(ready))]
 }
 
 // allReady checks all instances and reports whether every instance is ready.
--- a/soak/check.go
+++ b/soak/check.go
@@ -11,23 +11,23 @@
 
 // Guarantees that Check verifies.
 const (
-	RuleOrder    = "ORDER"    // a stream has all its events once, in order, and no events of other streams
-	RuleMixed    = "MIXED"    // an answer is complete and is the answer of the stamped target to this call
-	RuleTwice    = "TWICE"    // an unsafe call runs at most once
-	RuleNotRun   = "NOTRUN"   // a call that is rejected as not run never runs
-	RuleUnasked  = "UNASKED"  // targets get what callers sent, for the caller's organisation
-	RuleRevoked  = "REVOKED"  // a removed key is rejected within revokeDelay
-	RuleDenied   = "DENIED"   // a call that every version allows is never denied
-	RuleCurrent  = "CURRENT"  // a new version is in force within configDelay
-	RuleReverted = "REVERTED" // an instance does not return to an older version
-	RuleDrain    = "DRAIN"    // draining targets get no new calls
-	RuleLost     = "LOST"     // an instance completes its calls before it stops
-	RuleFinal    = "FINAL"    // every call ends by its deadline
-	RuleAlive    = "ALIVE"    // processes exit only when they are stopped, and in time
-	RuleUsage    = "USAGE"    // memory and descriptors stay within limits
-	RuleBack     = "BACK"     // calls are served again after the last fault
+	RuleOrder       = "ORDER"    // a stream has all its events once, in order, and no events of other streams
+	RuleAnswer      = "MIXED"    // an answer is complete and is the answer of the stamped target to this call
+	RuleAtMostOnce  = "TWICE"    // an unsafe call runs at most once
+	RuleNotRun      = "NOTRUN"   // a call that is rejected as not run never runs
+	RuleForwarding  = "UNASKED"  // targets get what callers sent, for the caller's organisation
+	RuleRevoked     = "REVOKED"  // a removed key is rejected within revokeDelay
+	RuleDenied      = "DENIED"   // a call that every version allows is never denied
+	RuleConfigDelay = "CURRENT"  // a new version is in force within configDelay
+	RuleReverted    = "REVERTED" // an instance does not return to an older version
+	RuleDrain       = "DRAIN"    // draining targets get no new calls
+	RuleShutdown    = "LOST"     // an instance completes its calls before it stops
+	RuleDeadline    = "FINAL"    // every call ends by its deadline
+	RuleExit        = "ALIVE"    // processes exit only when they are stopped, and in time
+	RuleUsage       = "USAGE"    // memory and descriptors stay within limits
+	RuleRecovery    = "BACK"     // calls are served again after the last fault
 
-	RuleDeadly    = "DEADLY"    // a request that crashed crashesToQuarantine targets is not sent again
+	RulePoison    = "DEADLY"    // a request that crashed crashesToQuarantine targets is not sent again
 	RuleBystander = "BYSTANDER" // a request that crashed no target is not quarantined
 )
 
@@ -43,7 +43,7 @@
 	// revertTolerance separates calls that can overlap in an instance, which may handle
 	// them by either version.
 	revertTolerance = 250 * time.Millisecond
-	// drainTolerance covers a call's way to the target.
+	// drainTolerance covers the time from the choice of a target to the arrival of the call.
 	drainTolerance = 300 * time.Millisecond
 	// Calls that are sent recoveryTime after the last fault or later have to be served,
 	// except for a share of 1-minServedShare.
@@ -109,21 +109,21 @@
 // checkAnswer checks the answer that a caller received.
 func (c *checker) checkAnswer(call *Call) {
 	if call.AnsweredCall != "" && call.AnsweredCall != call.ID {
-		c.addViolation(RuleMixed, call.EndedAt, "call %s got the answer to call %s", call.ID, call.AnsweredCall)
+		c.addViolation(RuleAnswer, call.EndedAt, "call %s got the answer to call %s", call.ID, call.AnsweredCall)
 	}
 	if call.Status != http.StatusOK {
 		return
 	}
 	target := strings.TrimPrefix(call.Stamp, "stamp-")
 	if target == "" || !slices.ContainsFunc(c.attempts[call.ID], func(r Record) bool { return r.Target == target }) {
-		c.addViolation(RuleMixed, call.EndedAt, "call %s: status 200 with stamp %q of a target that did not run the call", call.ID, call.Stamp)
+		c.addViolation(RuleAnswer, call.EndedAt, "call %s: status 200 with stamp %q of a target that did not run the call", call.ID, call.Stamp)
 	}
 	if call.Kind == CallStream {
 		c.checkEventOrder(call)
 		return
 	}
 	if call.Complete && call.Body != plainAnswer(call.ID, target) {
-		c.addViolation(RuleMixed, call.EndedAt, "call %s: body %q is not the answer of target %s", call.ID, call.Body, target)
+		c.addViolation(RuleAnswer, call.EndedAt, "call %s: body %q is not the answer of target %s", call.ID, call.Body, target)
 	}
 }
 
@@ -148,7 +148,7 @@
 		return // the call was still running when the execution ended
 	}
 	if call.Kind == CallUnsafe && len(attempts) > 1 {
-		c.addViolation(RuleTwice, attempts[1].At, "call %s ran at %s and %s", id, attempts[0].Target, attempts[1].Target)
+		c.addViolation(RuleAtMostOnce, attempts[1].At, "call %s ran at %s and %s", id, attempts[0].Target, attempts[1].Target)
 	}
 	if promisesNotRun(call.Status) {
 		c.addViolation(RuleNotRun, attempts[0].At, "call %s was rejected with status %d and ran at %s", id, call.Status, attempts[0].Target)
@@ -159,10 +159,10 @@
 	}
 	for _, r := range attempts {
 		if r.KeyPassed || r.Org != call.Org || r.Path != call.Path || r.ResumeOffset < call.ResumeOffset {
-			c.addViolation(RuleUnasked, r.At, "call %s ran at %s with path %q, organisation %q, key passed %v, after event %d", id, r.Target, r.Path, r.Org, r.KeyPassed, r.ResumeOffset)
+			c.addViolation(RuleForwarding, r.At, "call %s ran at %s with path %q, organisation %q, key passed %v, after event %d", id, r.Target, r.Path, r.Org, r.KeyPassed, r.ResumeOffset)
 		}
 		if r.Service != want {
-			c.addViolation(RuleUnasked, r.At, "call %s ran at service %s", id, r.Service)
+			c.addViolation(RuleForwarding, r.At, "call %s ran at service %s", id, r.Service)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 			c.addViolation(RuleRevoked, call.SentAt, "call %s ran with %s, which version %d had removed %.1f s before", call.ID, call.Key, ch.Version, seconds(call.SentAt-ch.AckedAt))
 		}
 		if ch.AddedKey == call.Key && call.Status == http.StatusUnauthorized && c.mustBeInForce(ch, call) && !c.mayBeRemoved(call, func(o Change) bool { return o.RevokedKey == call.Key }) {
-			c.addViolation(RuleCurrent, call.SentAt, "call %s at %s: %s rejected %.1f s after version %d added it", call.ID, call.Entry, call.Key, seconds(call.SentAt-ch.AckedAt), ch.Version)
+			c.addViolation(RuleConfigDelay, call.SentAt, "call %s at %s: %s rejected %.1f s after version %d added it", call.ID, call.Entry, call.Key, seconds(call.SentAt-ch.AckedAt), ch.Version)
 		}
 	}
 }
@@ -204,10 +204,10 @@
 	for _, ch := range c.history.Changes {
 		removesRoute := func(o Change) bool { return o.RemovedRoute != "" && strings.HasPrefix(call.Path, o.RemovedRoute) }
 		if strings.HasPrefix(call.Path, ch.AddedRoute) && call.Status == http.StatusNotFound && c.mustBeInForce(ch, call) && !c.mayBeRemoved(call, removesRoute) {
-			c.addViolation(RuleCurrent, call.SentAt, "call %s at %s: no route %.1f s after version %d added it", call.ID, call.Entry, seconds(call.SentAt-ch.AckedAt), ch.Version)
+			c.addViolation(RuleConfigDelay, call.SentAt, "call %s at %s: no route %.1f s after version %d added it", call.ID, call.Entry, seconds(call.SentAt-ch.AckedAt), ch.Version)
 		}
 		if removesRoute(ch) && call.Status == http.StatusOK && c.mustBeInForce(ch, call) {
-			c.addViolation(RuleCurrent, call.SentAt, "call %s at %s: served %.1f s after version %d removed its route", call.ID, call.Entry, seconds(call.SentAt-ch.AckedAt), ch.Version)
+			c.addViolation(RuleConfigDelay, call.SentAt, "call %s at %s: served %.1f s after version %d removed its route", call.ID, call.Entry, seconds(call.SentAt-ch.AckedAt), ch.Version)
 		}
 	}
 }
@@ -266,7 +266,7 @@
 func (c *checker) checkDeadline(call *Call) {
 	overdue := call.EndedAt - call.SentAt - int64(call.Timeout)
 	if (call.TimedOut || overdue > int64(deadlineTolerance)) && call.Connected && c.entryUndisturbed(call.Entry, call.SentAt, call.EndedAt) {
-		c.addViolation(RuleFinal, call.EndedAt, "call %s at %s: ended, or was given up, %.1f s after its deadline", call.ID, call.Entry, seconds(overdue))
+		c.addViolation(RuleDeadline, call.EndedAt, "call %s at %s: ended, or was given up, %.1f s after its deadline", call.ID, call.Entry, seconds(overdue))
 	}
 }
 
@@ -281,7 +281,7 @@
 	}
 	duringShutdown := slices.ContainsFunc(c.history.Faults, func(t InjectedFault) bool { return isShutdown(t) && t.overlaps(call.SentAt, call.EndedAt) })
 	if duringShutdown && !slices.ContainsFunc(c.history.Faults, func(t InjectedFault) bool { return !isShutdown(t) && c.mayInterrupt(t, call) }) {
-		c.addViolation(RuleLost, call.EndedAt, "call %s at %s was interrupted by the instance's stop or reload: %s", call.ID, call.Entry, call.Error)
+		c.addViolation(RuleShutdown, call.EndedAt, "call %s at %s was interrupted by the instance's stop or reload: %s", call.ID, call.Entry, call.Error)
 	}
 }
 
@@ -312,7 +312,7 @@
 
 func (c *checker) checkProcesses() {
 	for _, exit := range c.history.Exits {
-		c.addViolation(RuleAlive, exit.At, "%s: %s", exit.Node, exit.Error)
+		c.addViolation(RuleExit, exit.At, "%s: %s", exit.Node, exit.Error)
 	}
 	for _, u := range c.history.Usage {
 		if u.MemoryMB > memoryLimitMB || u.OpenFiles > maxOpenFiles {
@@ -338,7 +338,7 @@
 		}
 	}
 	if total >= minRecoveryCalls && float64(served) < minServedShare*float64(total) {
-		c.addViolation(RuleBack, from+int64(recoveryTime), "%d of %d calls served after the last fault", served, total)
+		c.addViolation(RuleRecovery, from+int64(recoveryTime), "%d of %d calls served after the last fault", served, total)
 	}
 }
 
--- a/soak/execution.go
+++ b/soak/execution.go
@@ -33,7 +33,7 @@
 	dir       string
 	links     links
 	store     *process.Process
-	storeAddr string // without a link
+	storeAddr string // for direct connections, without a link
 	entries   []*entry
 	targets   []*target
 	balancer  *balancer
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -77,7 +77,7 @@
 	}
 	err := platform.NewClient(x.storeAddr, writeTimeout).SetFault(ctx, storeFault)
 	if errors.Is(err, platform.ErrUnavailable) {
-		return nil // the store is paused already
+		return nil // another fault has paused the store
 	}
 	if err != nil {
 		return err
--- a/soak/links.go
+++ b/soak/links.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// closeTo makes connections to a node fail, as if nothing listened there.
+// closeTo stops all links to a node from listening, so that new connections to the node
+// are refused.
 func (ls *links) closeTo(node string) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -74,6 +75,7 @@
 	}
 }
 
+// abort closes all links and resets their connections.
 func (ls *links) abort() {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
--- a/soak/nodes.go
+++ b/soak/nodes.go
@@ -13,7 +13,7 @@
 )
 
 type (
-	// node is a place in the deployment that is filled by one process at a time.
+	// node is a fixed member of the deployment. One process at a time runs as the node.
 	node struct {
 		faultMu sync.Mutex // held while a fault replaces the process
 		mu      sync.Mutex
@@ -33,7 +33,7 @@
 	target struct {
 		node
 		targetSpec
-		storeAddr string // at which the target reaches the store
+		storeAddr string // the store's address for this target
 		recordDir string
 		config    TargetConfig // of the latest process; guarded by mu
 		idCount   int          // guarded by mu
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// writeTimeout bounds one attempt to write a version; attempts are repeated until the
-	// store acknowledges it.
+	// writeTimeout bounds one attempt to write a version; writeNextVersion retries
+	// until the store acknowledges the version.
 	writeTimeout       = 2 * time.Second
 	writeRetryInterval = 100 * time.Millisecond
 )
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -43,15 +43,15 @@
 )
 
 const (
-	// startMargin is the time before the first fault, for the processes to connect.
+	// startMargin is the time before the first fault, in which the processes connect.
 	startMargin = 4 * time.Second
 	// recoveryMargin is the time without faults at the end, for recovery and its check.
 	recoveryMargin = 12 * time.Second
 	// meanFaultInterval is the mean time between the starts of two faults, for each 10
 	// processes.
 	meanFaultInterval = time.Second
+	maxFaultDuration  = 7 * time.Second
 	// maxStoreLinkFaultDuration is longer than instances accept keys without the store.
-	maxFaultDuration          = 7 * time.Second
 	maxStoreLinkFaultDuration = 14 * time.Second
 	// Changes by the operator continue after the last fault, until changeMargin before the
 	// end.
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -25,7 +25,8 @@
 	meanPoisonInterval = 400 * time.Millisecond
 	maxPoisonDuration  = 16 * time.Second
 	// A request is quarantined after crashesToQuarantine crashes. All instances have to
-	// know quarantineDelay later; maxLatePoisonAttempts allows for attempts under way.
+	// reject the request quarantineDelay later; maxLatePoisonAttempts allows for attempts
+	// in progress.
 	crashesToQuarantine   = 3
 	maxLatePoisonAttempts = 3
 	quarantineDelay       = 3 * time.Second
@@ -68,13 +69,13 @@
 
 // sendPoisonOnce sends a poison request over a connection of its own.
 func (c *caller) sendPoisonOnce(kind string, seed uint64) {
-	single := newCaller(c.exec, c.index)
-	single.rng = rand.New(rand.NewPCG(seed, 0))
-	defer single.disconnect()
-	single.entryIndex = single.exec.balancer.pick(single.rng)
-	call := single.newCall(kind, 0, fmt.Sprintf("%x", seed))
+	oneShot := newCaller(c.exec, c.index)
+	oneShot.rng = rand.New(rand.NewPCG(seed, 0))
+	defer oneShot.disconnect()
+	oneShot.entryIndex = oneShot.exec.balancer.pick(oneShot.rng)
+	call := oneShot.newCall(kind, 0, fmt.Sprintf("%x", seed))
 	call.Poison = true
-	single.make(&call)
+	oneShot.make(&call)
 }
 
 // restartCrashed starts successors of targets that a poison request crashed, until ctx
@@ -120,8 +121,8 @@
 }
 
 // checkPoison checks how often a request was sent after the crash that quarantines it. It
-// counts attempts by instances that had to know: those that could read the store for long
-// enough, and those that started later and read it at their start.
+// counts attempts by instances that had to know of the quarantine: those that reached the
+// store for quarantineDelay, and those that restarted after the quarantine.
 func (c *checker) checkPoison() {
 	crashes := c.crashTimes()
 	if len(crashes) < crashesToQuarantine {
@@ -142,7 +143,7 @@
 		}
 	}
 	if lateAttempts > maxLatePoisonAttempts {
-		c.addViolation(RuleDeadly, knownAt, "a request that had crashed %d targets reached targets %d more times later than %v after the last of these crashes; %d crashes in total", crashesToQuarantine, lateAttempts, quarantineDelay, len(crashes))
+		c.addViolation(RulePoison, knownAt, "a request that had crashed %d targets reached targets %d more times later than %v after the last of these crashes; %d crashes in total", crashesToQuarantine, lateAttempts, quarantineDelay, len(crashes))
 	}
 }
 
@@ -169,13 +170,13 @@
 // restartedAfter reports whether an instance was restarted after the quarantine was
 // stored. It requires that the store and all links to it had no fault since shortly before
 // the crash.
-func (c *checker) restartedAfter(entry string, crash, at int64) bool {
+func (c *checker) restartedAfter(entry string, quarantinedAt, at int64) bool {
 	isRestart := func(t InjectedFault) bool { return t.Kind == KindKill || t.Kind == KindStop }
 	restarted := slices.ContainsFunc(c.history.Faults, func(t InjectedFault) bool {
-		return isRestart(t) && t.From == entry && t.StartedAt > crash+int64(quarantineDelay) && t.EndedAt < at
+		return isRestart(t) && t.From == entry && t.StartedAt > quarantinedAt+int64(quarantineDelay) && t.EndedAt < at
 	})
 	return restarted && !slices.ContainsFunc(c.history.Faults, func(t InjectedFault) bool {
-		return t.overlaps(crash-int64(quarantineDelay), at) && (t.affects(nodeStore, "") || t.To == nodeStore || t.From == nodeStore)
+		return t.overlaps(quarantinedAt-int64(quarantineDelay), at) && (t.affects(nodeStore, "") || t.To == nodeStore || t.From == nodeStore)
 	})
 }
 
--- a/soak/records.go
+++ b/soak/records.go
@@ -37,9 +37,9 @@
 		Path         string        `json:"path"`
 		Key          string        `json:"key"`
 		Org          string        `json:"org"`
-		Subject      string        `json:"subject"`
-		ResumeOffset int           `json:"after"`  // id of the last event that the caller had
-		TotalEvents  int           `json:"events"` // of the complete stream
+		Subject      string        `json:"subject"` // determines the texts of a stream's events
+		ResumeOffset int           `json:"after"`   // id of the last event that the caller had
+		TotalEvents  int           `json:"events"`  // of the complete stream
 		SentAt       int64         `json:"sent"`
 		EndedAt      int64         `json:"ended"`
 		Timeout      time.Duration `json:"limit"` // until the deadline
@@ -57,7 +57,8 @@
 		Error        string   `json:"error"`
 	}
 
-	// Record is an entry of a target's records.
+	// Record is what a target recorded: the start or end of an attempt, that the target
+	// is draining, or a crash.
 	Record struct {
 		Kind         string `json:"kind"`
 		Call         string `json:"call"`
--- a/soak/run.go
+++ b/soak/run.go
@@ -87,7 +87,7 @@
 			i += chunk
 		}
 	}
-	fmt.Fprintf(r.Out, "shrunk to %d faults that break %s:\n", len(plan.Faults), rule)
+	fmt.Fprintf(r.Out, "shrunk to %d faults that violate %s:\n", len(plan.Faults), rule)
 	Print(r.Out, plan)
 	return plan
 }
@@ -124,7 +124,7 @@
 			streams++
 		}
 	}
-	fmt.Fprintf(w, "seed %d, size %s, %d s: %d faults, %d versions, %d of %d calls served (%d streams), %d promises broken\n", r.Plan.Seed, r.Plan.Size,
+	fmt.Fprintf(w, "seed %d, size %s, %d s: %d faults, %d versions, %d of %d calls served (%d streams), %d violations\n", r.Plan.Seed, r.Plan.Size,
 		r.Plan.Seconds, len(r.History.Faults), len(r.History.Changes), served, total, streams, len(r.Violations))
 	if len(r.Violations) == 0 {
 		return
--- a/soak/target.go
+++ b/soak/target.go
@@ -27,12 +27,12 @@
 	replicaTimeout  = 300 * time.Millisecond // for the request to the replica target
 	replicaExpiry   = 4 * time.Second        // as in the desired state
 	// drainPeriod is how long a target serves at least after its row says that it is
-	// draining. It stays for drainExtra after that, to record calls that should not come.
+	// draining. It runs for drainExtra longer, to record calls that should not arrive.
 	drainPeriod = 2 * time.Second
 	drainExtra  = 4 * time.Second
 
-	pathReplica     = "/soak/copy"  // keeps a replica: call, events
-	pathLoseAnswers = "/soak/loses" // loses answers for ms
+	pathReplica     = "/soak/copy"  // keeps a replica; parameters call, events
+	pathLoseAnswers = "/soak/loses" // loses answers; parameter ms
 	pathHealth      = "/health"
 )
 
@@ -50,15 +50,15 @@
 	}
 
 	// Target is a model engine or a plain service in its own process: the platform's
-	// stand-in, with a row in the store, replicas at other targets, and a record of every
-	// attempt.
+	// stand-in, which also writes its row to the store, sends replicas to other targets
+	// and records every attempt.
 	Target struct {
-		cfg        TargetConfig
-		records    *os.File
-		http       http.Client
-		bootTimeMs int64
-		sequence   atomic.Int64
-		standIn    platform.TargetStandIn
+		cfg         TargetConfig
+		records     *os.File
+		http        http.Client
+		bootTimeMs  int64
+		rowSequence atomic.Int64
+		standIn     platform.TargetStandIn
 	}
 )
 
@@ -72,7 +72,7 @@
 	t := &Target{cfg: cfg, records: f, http: http.Client{Timeout: platform.TargetHeartbeat},
 		bootTimeMs: time.Now().Add(time.Duration(cfg.StepMs) * time.Millisecond).UnixMilli()}
 	t.standIn = platform.TargetStandIn{ID: cfg.ID, Events: streamEvents, Gap: eventInterval, First: firstEventTime, Listen: cfg.Listen,
-		Peers: &platform.Peers{Keep: t.sendReplica}, Work: answers(cfg.ID), Note: t.recordAttempt, Besides: t.extraHandler(),
+		Peers: &platform.Peers{Keep: t.sendReplica}, Work: answerGenerator(cfg.ID), Note: t.recordAttempt, Besides: t.extraHandler(),
 		Crashes: platform.Crashes{By: func(body []byte) bool { return string(body) == poisonBody }, Done: t.crash}}
 	if cfg.Service != serviceLLM {
 		t.standIn.First = plainAnswerTime
@@ -105,7 +105,7 @@
 
 func (t *Target) writeRow(draining bool) error {
 	b, err := platform.EncodeTarget(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: t.cfg.ID, Started: t.bootTimeMs, Service: t.cfg.Service,
-		Address: t.cfg.Listen, Zone: t.cfg.Zone, Slots: targetSlots, Draining: draining, Sequence: t.sequence.Add(1)}))
+		Address: t.cfg.Listen, Zone: t.cfg.Zone, Slots: targetSlots, Draining: draining, Sequence: t.rowSequence.Add(1)}))
 	if err != nil {
 		return err
 	}
@@ -118,9 +118,9 @@
 	os.Exit(crashExitCode)
 }
 
-func (t *Target) recordAttempt(note platform.RunNote) {
-	record := Record{Kind: RecordStarted, Call: note.Call, Path: note.Path, Org: note.Org, KeyPassed: note.KeyPassed, ResumeOffset: note.After}
-	if note.Ended {
+func (t *Target) recordAttempt(attempt platform.RunNote) {
+	record := Record{Kind: RecordStarted, Call: attempt.Call, Path: attempt.Path, Org: attempt.Org, KeyPassed: attempt.KeyPassed, ResumeOffset: attempt.After}
+	if attempt.Ended {
 		record.Kind = RecordEnded
 	}
 	t.writeRecord(record)
@@ -180,11 +180,11 @@
 	}()
 }
 
-// answers produces the answers of the target with this id.
-type answers string
+// answerGenerator produces the answerGenerator of the target with this id.
+type answerGenerator string
 
 // Events returns the texts of a stream's events after a given one.
-func (answers) Events(_ context.Context, call string, after int) iter.Seq[string] {
+func (answerGenerator) Events(_ context.Context, call string, after int) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for yield(subjectOf(call)) {
 		}
@@ -192,7 +192,7 @@
 }
 
 // Answer returns a plain answer.
-func (a answers) Answer(_ context.Context, call string) (string, error) {
+func (a answerGenerator) Answer(_ context.Context, call string) (string, error) {
 	return plainAnswer(call, string(a)), nil
 }
 
