--- a/emulator/body.go
+++ b/emulator/body.go
@@ -15,8 +15,8 @@
 	return []byte(strconv.Itoa(events) + " " + label)
 }
 
-// PoisonBody returns the body of a poison request: an engine that starts to
-// generate its answer crashes.
+// PoisonBody returns the body of a poison request, which crashes an engine that
+// starts to generate its answer.
 func PoisonBody(events int, label string) []byte {
 	return append(Body(events, label), " "+poisonSuffix...)
 }
--- a/emulator/cluster.go
+++ b/emulator/cluster.go
@@ -20,7 +20,7 @@
 const (
 	messageDelay    = 500 * time.Microsecond // from an entry instance to an engine of any zone
 	crashDelay      = 100 * time.Millisecond // from the first token of a poison request to the crash
-	retransmitDelay = 200 * time.Millisecond // TCP's, after a lost packet
+	retransmitDelay = 200 * time.Millisecond // until TCP sends a lost packet again
 )
 
 var (
@@ -35,8 +35,8 @@
 		profile      Profile
 		reportsStart bool             // engines report when their boots started
 		nodes        map[string]*Node // by address
-		// OnCrash is called when a poison request crashes an engine; if it is nil,
-		// poison requests crash none.
+		// OnCrash is called crashDelay after the first token of a poison request,
+		// and makes the engine crash. If it is nil, poison requests crash no engine.
 		OnCrash func(n *Node)
 
 		mu   sync.Mutex
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -39,8 +39,8 @@
 
 		mu        sync.Mutex
 		slowdown  float64 // factor on all durations; 0 means 1
-		bootCount int     // restarts
-		idNumber  int     // restarts under a new id
+		restarts  int     // that began a new boot
+		idNumber  int     // part of the id; counts the restarts under a new id
 		bootStart time.Time
 		state     State
 		arrivals  int
@@ -52,7 +52,7 @@
 		stats     Stats
 	}
 
-	// State is whether and how an engine fails.
+	// State tells whether an engine works, and if not, how it fails.
 	State uint8
 
 	// Request asks an engine to generate the events of an answer.
@@ -64,7 +64,7 @@
 		ResumeOffset  int     // last event that the caller has
 		Rank          int     // lower ranks are served first
 		FromReplica   bool    // continue from the replica that the engine holds
-		Poison        bool    // generates no event, as the engine is about to crash
+		Poison        bool    // the engine generates the first token, but no event
 		ReplicaTarget *Engine // nil: no replica is kept
 	}
 
@@ -77,7 +77,7 @@
 		toPrefill    int           // tokens to process before the next token is generated
 		kvTokens     int           // tokens in the KV cache
 		generated    int           // tokens of the answer, with those before the resume offset
-		replicatedAt time.Time     // of the replica's last update
+		replicatedAt time.Time     // when the replica was last updated
 		firstToken   chan struct{} // closed at the first token
 		events       chan Event
 		done         chan struct{}
@@ -93,7 +93,7 @@
 
 	// Stats counts an engine's work.
 	Stats struct {
-		PrefillTokens    int // processed, with the answer's tokens that were processed again
+		PrefillTokens    int // of prompts, and of answers after a failover or preemption
 		CachedTokens     int // found in the prompt cache
 		Preemptions      int // generations preempted for lack of memory
 		ReplicatedTokens int // received in replicas from other engines
@@ -134,11 +134,11 @@
 	return time.Duration(e.slowdown * float64(d))
 }
 
-// Boot returns the number of the engine's restarts.
-func (e *Engine) Boot() int {
+// Restarts returns how often the engine started a new boot.
+func (e *Engine) Restarts() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.bootCount
+	return e.restarts
 }
 
 // initialStartMs is the start time of an engine that was never restarted; 0
@@ -189,7 +189,7 @@
 	defer e.mu.Unlock()
 	if e.state != Stuck {
 		e.crash()
-		e.bootCount++
+		e.restarts++
 		e.bootStart = time.Now()
 		if !keepID {
 			e.idNumber++
--- a/emulator/engine_test.go
+++ b/emulator/engine_test.go
@@ -122,7 +122,7 @@
 		assert.Empty(t, g.Output())
 		e.Restart(false)
 		assert.Equal(t, 50, lastEvent(g))
-		assert.Zero(t, e.Boot())
+		assert.Zero(t, e.Restarts())
 
 		g = start(t, e, Request{CallID: "b", PromptTokens: 800, Events: 50})
 		<-g.Output()
@@ -132,7 +132,7 @@
 
 		e.Fail(Unreachable)
 		e.Restart(false)
-		assert.Equal(t, 1, e.Boot())
+		assert.Equal(t, 1, e.Restarts())
 		assert.Equal(t, Up, e.State())
 	})
 }
--- a/emulator/step.go
+++ b/emulator/step.go
@@ -180,7 +180,7 @@
 }
 
 // tryFit evicts cached prompts to make room for a generation, and reports
-// whether it fits. A generation that would run alone always does.
+// whether it fits. If no other generation is running, it always fits.
 func (e *Engine) tryFit(g *Generation) bool {
 	free := e.profile.MemoryTokens - e.reservedTokens() - g.kvTokens - g.toPrefill
 	e.cache.evict(free)
@@ -188,7 +188,7 @@
 }
 
 // enforceMemoryLimit preempts the newest generations of the highest rank while
-// the running ones exceed the memory, then evicts cached prompts.
+// running generations and replicas exceed the memory, then evicts cached prompts.
 func (e *Engine) enforceMemoryLimit() {
 	used := e.reservedTokens()
 	for used > e.profile.MemoryTokens && len(e.running) > 1 {
