--- a/cmd/ragworthitch/load.go
+++ b/cmd/ragworthitch/load.go
@@ -54,7 +54,7 @@
 		return fail(err)
 	}
 	if c.faultKinds != "all" {
-		events = load.Only(events, strings.Split(c.faultKinds, ","))
+		events = load.FilterFaults(events, strings.Split(c.faultKinds, ","))
 	}
 	var entries []string
 	if c.entries != "" {
--- a/load/run.go
+++ b/load/run.go
@@ -18,7 +18,7 @@
 
 // Limits of a replay.
 const (
-	maxConnects    = 30
+	maxConnects    = 30 // of a stream: the first connection and reconnections
 	reconnectDelay = 200 * time.Millisecond
 	readyTimeout   = 20 * time.Second
 	orgPrefixWords = 64 // words every prompt of an organisation starts with
--- a/load/summary.go
+++ b/load/summary.go
@@ -47,8 +47,8 @@
 			if res.check.mixed {
 				summary.Mixed++
 			}
-			for _, g := range res.check.resumeDelaysNs {
-				resumeDelays = append(resumeDelays, float64(g)/1e6)
+			for _, delay := range res.check.resumeDelaysNs {
+				resumeDelays = append(resumeDelays, float64(delay)/1e6)
 			}
 		} else if res.Verdict == "complete" {
 			shortLatencies = append(shortLatencies, res.Ms)
--- a/load/trace.go
+++ b/load/trace.go
@@ -45,9 +45,9 @@
 	}
 )
 
-// Only returns the requests and the faults of the named kinds. With the kind
-// "none" it drops all faults.
-func Only(events []Event, kinds []string) []Event {
+// FilterFaults returns all requests, and the faults of the given kinds. The kind
+// "none" matches no fault.
+func FilterFaults(events []Event, kinds []string) []Event {
 	keep := map[string]bool{}
 	for _, k := range kinds {
 		keep[k] = true
