--- a/cmd/ragworthitch/rollout.go
+++ b/cmd/ragworthitch/rollout.go
@@ -13,7 +13,7 @@
 	"github.com/ragworthitch/ragworthitch/rehearse"
 )
 
-// Limits on the flags, which bound the time and memory of a simulation.
+// Limits on the flags, so that a simulation ends within reasonable time and memory.
 const (
 	maxDraws     = 1000
 	maxRate      = 5000
--- a/cmd/ragworthitch/serve.go
+++ b/cmd/ragworthitch/serve.go
@@ -28,7 +28,7 @@
 func (c *serveCmd) SetFlags(f *flag.FlagSet) { f.StringVar(&c.logLevel, "log", "info", "log level") }
 
 func (c *serveCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	// Comes first, since an unhandled SIGHUP would end the process.
+	// SIGHUP is handled first, as its default action ends the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	boot, err := platform.LoadBoot()
