--- a/target.go
+++ b/target.go
@@ -27,7 +27,7 @@
 		Slots    int
 		Draining bool
 		ColdFor  time.Duration // remaining time of the slow phase after a start
-		Sequence int64         // number of the boot's write of its store entry
+		Sequence int64         // counts the boot's writes of its store entry
 	}
 )
 
@@ -78,6 +78,6 @@
 // target's last write of its store entry.
 func (t Target) ColdFor() time.Duration { return t.params.ColdFor }
 
-// Sequence returns the number of the boot's write of its store entry. It orders
-// the writes, which may arrive out of order.
+// Sequence returns the number of the write that t was read from. A boot counts its
+// writes of its store entry, since an instance may receive them out of order.
 func (t Target) Sequence() int64 { return t.params.Sequence }
