--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,11 +1,11 @@
-// Command experiment compares variants of the routing policy under emulated loads,
-// without a network. It runs each load of a file with each of the given variants
-// and prints a table; with -plot it also draws the share of streams on time by
-// second. With -goodput it draws the file that 'ragworthitch soak -goodput'
-// wrote.
+// Command experiment compares variants of the routing policy under emulated
+// workloads, without a network. It simulates each workload of a file with each of
+// the given variants and prints a table; with -plot it also draws the share of
+// streams on time by second. With -goodput it draws the file that 'ragworthitch
+// soak -goodput' wrote.
 //
 // Command experiment is separate from ragworthitch because of the size of its
-// plotting library. Loads run in real time, the variants of a load concurrently.
+// plotting library. Simulations run in real time, those of a workload concurrently.
 package main
 
 import (
@@ -33,19 +33,19 @@
 
 func run(ctx context.Context, args []string, out io.Writer) error {
 	flags := flag.NewFlagSet("experiment", flag.ContinueOnError)
-	loadsFile := flags.String("loads", "experiment/testdata/loads.yaml", "YAML file with the loads")
+	workloadsFile := flags.String("loads", "experiment/testdata/loads.yaml", "YAML file with the workloads")
 	variantList := flags.String("variants", "product,leastLoaded", "variants to compare: "+strings.Join(variantNames(), ", "))
-	draws := flags.Int("draws", 3, "runs of each load, each with its own seed")
-	loadFilter := flags.String("only", "", "run only loads whose name contains this text")
-	plotDir := flags.String("plot", "", "directory for an SVG file of each load")
-	goodputFile := flags.String("goodput", "", "draw this file of a soak test to an SVG file of the same name, and run no load")
+	draws := flags.Int("draws", 3, "simulations of each workload, each with its own seed")
+	workloadFilter := flags.String("only", "", "simulate only workloads whose name contains this text")
+	plotDir := flags.String("plot", "", "directory for an SVG file of each workload")
+	goodputFile := flags.String("goodput", "", "draw this file of a soak test to an SVG file of the same name, and simulate nothing")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
 	if *goodputFile != "" {
 		return plotGoodput(*goodputFile)
 	}
-	loads, err := experiment.ReadLoads(*loadsFile)
+	workloads, err := experiment.ReadWorkloads(*workloadsFile)
 	if err != nil {
 		return err
 	}
@@ -58,21 +58,21 @@
 		variants = append(variants, v)
 	}
 	fmt.Fprintln(out, tableHeader)
-	for _, l := range loads {
-		if !strings.Contains(l.Name, *loadFilter) {
+	for _, w := range workloads {
+		if !strings.Contains(w.Name, *workloadFilter) {
 			continue
 		}
-		results, err := experiment.Compare(ctx, l, variants, max(*draws, 1))
+		results, err := experiment.Compare(ctx, w, variants, max(*draws, 1))
 		if err != nil {
 			return err
 		}
 		for _, r := range results {
-			fmt.Fprintln(out, tableRow(l.Name, r))
+			fmt.Fprintln(out, tableRow(w.Name, r))
 		}
 		if *plotDir == "" {
 			continue
 		}
-		if err := plotShares(filepath.Join(*plotDir, plotFileName(l.Name)), l.Name, results); err != nil {
+		if err := plotShares(filepath.Join(*plotDir, plotFileName(w.Name)), w.Name, results); err != nil {
 			return err
 		}
 	}
@@ -87,17 +87,17 @@
 	return names
 }
 
-// plotFileName returns the name of the SVG file for a load.
-func plotFileName(load string) string {
-	words := strings.FieldsFunc(strings.ToLower(load), func(r rune) bool { return (r < 'a' || r > 'z') && (r < '0' || r > '9') })
+// plotFileName returns the name of the SVG file for a workload.
+func plotFileName(workload string) string {
+	words := strings.FieldsFunc(strings.ToLower(workload), func(r rune) bool { return (r < 'a' || r > 'z') && (r < '0' || r > '9') })
 	return strings.Join(words, "-") + ".svg"
 }
 
 const tableHeader = `| load | variant | streams | on time | worst 3 s | late | failed | first event p50, p99 ms | pause p99 ms | tokens read again | preempted |
 |---|---|---|---|---|---|---|---|---|---|---|`
 
-func tableRow(load string, r experiment.Result) string {
+func tableRow(workload string, r experiment.Result) string {
 	ms := func(d time.Duration) int64 { return d.Milliseconds() }
-	return fmt.Sprintf("| %s | %s | %d | %.3f | %.2f | %d | %d | %d, %d | %d | %d | %d |", load, r.Variant, r.Streams, r.Share(), r.Worst,
-		r.Late, r.Failed, ms(r.First.P50), ms(r.First.P99), ms(r.Pause.P99), r.ReadAgain, r.Preempted)
+	return fmt.Sprintf("| %s | %s | %d | %.3f | %.2f | %d | %d | %d, %d | %d | %d | %d |", workload, r.Variant, r.Streams, r.Share(), r.WorstShare,
+		r.Late, r.Failed, ms(r.TimeToFirst.P50), ms(r.TimeToFirst.P99), ms(r.LongestInterval.P99), r.RepeatedPrefill, r.Preemptions)
 }
--- a/cmd/experiment/plot.go
+++ b/cmd/experiment/plot.go
@@ -26,7 +26,7 @@
 	var series []any
 	for _, r := range results {
 		var xy plotter.XYs
-		for s, share := range r.Second {
+		for s, share := range r.ShareBySecond {
 			if share >= 0 { // -1: no stream began in this second
 				xy = append(xy, plotter.XY{X: float64(s), Y: share})
 			}
--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -26,16 +26,16 @@
 		promptTokens int
 		events       int
 
-		mu              sync.Mutex
-		timeToFirst     time.Duration
-		lastEventAt     time.Time
-		longestInterval time.Duration // longest event interval
-		longestDelay    time.Duration // longest from the engine's generating an event to its receipt
-		received        int           // events
-		complete        bool
-		cancelRequest   context.CancelFunc // nil: no connection is open
-		sentAt          time.Time
-		resets          int
+		mu                sync.Mutex
+		timeToFirst       time.Duration
+		lastEventAt       time.Time
+		longestInterval   time.Duration // longest event interval
+		longestForwarding time.Duration // longest time from the generation of an event by the engine to its receipt
+		received          int           // events
+		complete          bool
+		cancelRequest     context.CancelFunc // nil: no connection is open
+		sentAt            time.Time
+		resets            int
 	}
 
 	// responseWriter records the answer to one send of a call.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return 0, err
 	}
-	c.longestDelay = max(c.longestDelay, now.Sub(generatedAt))
+	c.longestForwarding = max(c.longestForwarding, now.Sub(generatedAt))
 	return len(body), nil
 }
 
@@ -144,9 +144,9 @@
 }
 
 // meetsObjectives reports whether the answer is complete and its time to first
-// event, event intervals and forwarding delays met their objectives.
+// event, event intervals and forwarding times met their objectives.
 func (c *caller) meetsObjectives() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.complete && c.timeToFirst <= firstEventObjective && c.longestInterval <= eventIntervalObjective && c.longestDelay <= forwardingObjective
+	return c.complete && c.timeToFirst <= firstEventObjective && c.longestInterval <= eventIntervalObjective && c.longestForwarding <= forwardingObjective
 }
--- a/experiment/instance.go
+++ b/experiment/instance.go
@@ -31,7 +31,7 @@
 	callTimeout            = 25 * time.Second
 	firstEventObjective    = 4500 * time.Millisecond
 	eventIntervalObjective = 700 * time.Millisecond
-	forwardingObjective    = 120 * time.Millisecond // from the engine's generating an event to the caller
+	forwardingObjective    = 120 * time.Millisecond // from the generation of an event by the engine to its receipt
 	maxTargets             = 5
 )
 
@@ -44,9 +44,9 @@
 	sim           *simulation
 	targets       registry.Registry
 	locations     recall.Recall
-	locationsSent uint64 // own cache locations reported to the peers
+	locationsSent uint64 // observed cache locations in reports so far
 	crashes       poison.Book
-	crashesSent   uint64 // known crashes reported to the peers
+	crashesSent   uint64 // recorded crashes in reports so far
 	handler       *ingress.Handler
 	ctx           context.Context // ends when the instance is killed
 	cancel        context.CancelFunc
@@ -86,7 +86,8 @@
 func (in *instance) scheduleReport() { time.AfterFunc(reportDelay, in.report) }
 
 // report sends the peers the instance's load and event intervals at each
-// target, its new cache locations and the crashes that it knows.
+// target, and the cache locations that it observed and the crashes that it
+// recorded since its last report.
 func (in *instance) report() {
 	s := in.sim
 	s.mu.Lock()
--- a/experiment/poison.go
+++ b/experiment/poison.go
@@ -15,9 +15,9 @@
 
 const (
 	crashDowntime = 3 * time.Second // of an engine after a crash
-	// allowedCrashes is the number of engines that a request crashes before it
-	// is quarantined, propagationTime how long the quarantine may then take to
-	// reach all entry instances.
+	// allowedCrashes is the number of engines that a request may crash before it
+	// is quarantined. propagationTime is the time that the quarantine may then
+	// take to reach all entry instances.
 	allowedCrashes  = 3
 	propagationTime = 3 * time.Second
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// callWithPoison sends a poison request, at most maxSends times: a caller gives
-// up on status 500.
+// callWithPoison sends a poison request up to maxSends times. The caller doesn't
+// send it again after status 500, which rejects a quarantined request.
 func (sim *simulation) callWithPoison(ctx context.Context, n int) {
 	for index := range maxSends {
 		call := &ingress.Call{ID: fmt.Sprintf("%s-%d-%d", poisonSubject, n, index), Method: http.MethodPost, Host: host, Path: path, Header: http.Header{},
@@ -142,8 +142,8 @@
 	}
 }
 
-// claim claims the probe of a quarantined request, and reports whether no other
-// entry instance has.
+// claim claims the probe of a quarantined request in the store. It returns false
+// if another entry instance has claimed it or the store is unavailable.
 func (in *instance) claim(_ context.Context, probe poison.Trial) bool {
 	s := &in.sim.store
 	s.mu.Lock()
--- a/experiment/result.go
+++ b/experiment/result.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// worstWindowSeconds is the length of the windows among which Result.Worst is
-// the worst.
+// worstWindowSeconds is the length of the windows that Result.WorstShare is the
+// minimum of.
 const worstWindowSeconds = 3
 
 // Result measures how a variant served a workload.
@@ -16,20 +16,20 @@
 	OnTime           int
 	Late             int // complete, but missed an objective
 	Failed           int
-	First            Percentiles // time to the first event
-	Pause            Percentiles // longest event interval of each stream
-	ReadAgain        int         // prefill tokens beyond one prefill of each prompt
+	TimeToFirst      Percentiles
+	LongestInterval  Percentiles // longest event interval of each stream
+	RepeatedPrefill  int         // prefill tokens beyond one prefill of each prompt
 	ReplicatedTokens int
-	Preempted        int
-	// Crashed is the number of crashes by a poison request, and LateAttempts
-	// that of its attempts later than propagationTime after the last allowed
-	// crash.
-	Crashed      int
+	Preemptions      int
+	// Crashes counts the crashes caused by poison requests. LateAttempts counts
+	// the attempts of poison requests later than propagationTime after the last
+	// allowed crash.
+	Crashes      int
 	LateAttempts int
-	// Second is the share on time of the streams of each second of arrival;
+	// ShareBySecond is the share on time of the streams of each second of arrival;
 	// -1 if there are none.
-	Second []float64
-	Worst  float64 // least share on time over any worstWindowSeconds
+	ShareBySecond []float64
+	WorstShare    float64 // least share on time over any worstWindowSeconds
 
 	startedBySecond, onTimeBySecond []int // streams by second of arrival
 	timesToFirst, longestIntervals  []time.Duration
@@ -49,9 +49,9 @@
 // the workload if it never does.
 func (r Result) RecoverySeconds(w Workload) int {
 	end := int((w.lastFaultEnd() + time.Second - 1) / time.Second)
-	seconds := len(r.Second) - end
+	seconds := len(r.ShareBySecond) - end
 	for ; seconds > 0; seconds-- {
-		if s := r.Second[end+seconds-1]; s >= 0 && s < recoveredShare {
+		if s := r.ShareBySecond[end+seconds-1]; s >= 0 && s < recoveredShare {
 			return seconds
 		}
 	}
@@ -90,36 +90,36 @@
 			r.longestIntervals = append(r.longestIntervals, c.longestInterval)
 		}
 	}
-	r.Second, r.Worst = shares(r.startedBySecond, r.onTimeBySecond)
-	r.First, r.Pause = percentiles(r.timesToFirst), percentiles(r.longestIntervals)
+	r.ShareBySecond, r.WorstShare = shares(r.startedBySecond, r.onTimeBySecond)
+	r.TimeToFirst, r.LongestInterval = percentiles(r.timesToFirst), percentiles(r.longestIntervals)
 	prefilled := 0
 	for _, node := range sim.cluster.Nodes() {
 		stats := node.Stats()
 		prefilled += stats.PrefillTokens
 		r.ReplicatedTokens += stats.ReplicatedTokens
-		r.Preempted += stats.Preemptions
+		r.Preemptions += stats.Preemptions
 	}
-	r.ReadAgain = max(0, prefilled-sim.promptTokens())
-	r.Crashed, r.LateAttempts = sim.poisonStats.summary()
+	r.RepeatedPrefill = max(0, prefilled-sim.promptTokens())
+	r.Crashes, r.LateAttempts = sim.poisonStats.summary()
 	return r
 }
 
-// merge sums the results of several draws. The worst share is the mean of
-// theirs, LateAttempts the largest.
+// merge sums the results of several draws. WorstShare is the mean of the draws,
+// LateAttempts the maximum.
 func merge(rs []Result) Result {
 	sum := Result{Variant: rs[0].Variant, startedBySecond: make([]int, len(rs[0].startedBySecond)), onTimeBySecond: make([]int, len(rs[0].startedBySecond))}
 	for _, r := range rs {
 		sum.Streams, sum.OnTime, sum.Late, sum.Failed = sum.Streams+r.Streams, sum.OnTime+r.OnTime, sum.Late+r.Late, sum.Failed+r.Failed
-		sum.ReadAgain, sum.ReplicatedTokens, sum.Preempted = sum.ReadAgain+r.ReadAgain, sum.ReplicatedTokens+r.ReplicatedTokens, sum.Preempted+r.Preempted
-		sum.Crashed, sum.LateAttempts = sum.Crashed+r.Crashed, max(sum.LateAttempts, r.LateAttempts)
-		sum.Worst += r.Worst / float64(len(rs))
+		sum.RepeatedPrefill, sum.ReplicatedTokens, sum.Preemptions = sum.RepeatedPrefill+r.RepeatedPrefill, sum.ReplicatedTokens+r.ReplicatedTokens, sum.Preemptions+r.Preemptions
+		sum.Crashes, sum.LateAttempts = sum.Crashes+r.Crashes, max(sum.LateAttempts, r.LateAttempts)
+		sum.WorstShare += r.WorstShare / float64(len(rs))
 		sum.timesToFirst, sum.longestIntervals = append(sum.timesToFirst, r.timesToFirst...), append(sum.longestIntervals, r.longestIntervals...)
 		for i := range r.startedBySecond {
 			sum.startedBySecond[i], sum.onTimeBySecond[i] = sum.startedBySecond[i]+r.startedBySecond[i], sum.onTimeBySecond[i]+r.onTimeBySecond[i]
 		}
 	}
-	sum.Second, _ = shares(sum.startedBySecond, sum.onTimeBySecond)
-	sum.First, sum.Pause = percentiles(sum.timesToFirst), percentiles(sum.longestIntervals)
+	sum.ShareBySecond, _ = shares(sum.startedBySecond, sum.onTimeBySecond)
+	sum.TimeToFirst, sum.LongestInterval = percentiles(sum.timesToFirst), percentiles(sum.longestIntervals)
 	return sum
 }
 
@@ -133,7 +133,7 @@
 }
 
 // shares returns the share on time of each second, and the least over any
-// window.
+// worstWindowSeconds.
 func shares(started, onTime []int) (second []float64, worst float64) {
 	worst = 1
 	for i := range started {
@@ -150,12 +150,12 @@
 
 // share returns the share on time of all streams, or -1 if there are none.
 func share(onTime, started []int) float64 {
-	g, n := 0, 0
+	totalOnTime, total := 0, 0
 	for i := range started {
-		g, n = g+onTime[i], n+started[i]
+		totalOnTime, total = totalOnTime+onTime[i], total+started[i]
 	}
-	if n == 0 {
+	if total == 0 {
 		return -1
 	}
-	return float64(g) / float64(n)
+	return float64(totalOnTime) / float64(total)
 }
--- a/experiment/simulation.go
+++ b/experiment/simulation.go
@@ -201,7 +201,9 @@
 }
 
 // affects reports whether a fault affects the nth of all engines.
-func (f Fault) affects(n, of int) bool { return f.Share == 0 || float64(n) < f.Share*float64(of) }
+func (f Fault) affects(n, engines int) bool {
+	return f.Share == 0 || float64(n) < f.Share*float64(engines)
+}
 
 // failZone makes engines of a zone fail for the fault's duration. The entry
 // instances learn of their new boots after discoveryDelay.
--- a/experiment/simulation_test.go
+++ b/experiment/simulation_test.go
@@ -18,10 +18,13 @@
 // result. With fewer the shares of variants that choose at random vary too much.
 const draws = 8
 
+// expected holds the bounds on the results of one workload.
 type expected struct {
-	Load  string
-	Share float64
-	Worst float64
+	Load  string  // name of the workload
+	Share float64 // least Result.Share
+	Worst float64 // least Result.WorstShare
+	// Beats holds the least difference of the product's share to that of other
+	// variants.
 	Beats map[string]float64
 	// Misses bounds the share not on time relative to that of other variants: a
 	// difference of shares says little if nearly all streams are on time.
@@ -46,7 +49,7 @@
 // Guards the share on time of the product on each workload, and its lead over
 // variants that lack a mechanism.
 func TestWorkloads(t *testing.T) {
-	workloads, err := ReadLoads("testdata/loads.yaml")
+	workloads, err := ReadWorkloads("testdata/loads.yaml")
 	require.NoError(t, err)
 	for _, want := range cases.Load[expected](t, "testdata/expected.yaml") {
 		t.Run(want.Load, func(t *testing.T) {
@@ -55,13 +58,13 @@
 			require.GreaterOrEqual(t, i, 0)
 			product := simulate(t, workloads[i], "product")
 			assert.GreaterOrEqual(t, product.Share(), want.Share)
-			assert.GreaterOrEqual(t, product.Worst, want.Worst)
+			assert.GreaterOrEqual(t, product.WorstShare, want.Worst)
 			assert.GreaterOrEqual(t, product.Share(), want.OfOffline*OfflineShare(workloads[i], draws))
 			if want.Back > 0 {
 				assert.LessOrEqual(t, product.RecoverySeconds(workloads[i]), want.Back)
 			}
 			assert.LessOrEqual(t, product.LateAttempts, maxLateAttempts)
-			assert.LessOrEqual(t, product.Crashed, draws*want.Crashed)
+			assert.LessOrEqual(t, product.Crashes, draws*want.Crashed)
 			for name, part := range want.Misses {
 				assert.LessOrEqual(t, 1-product.Share(), part*(1-simulate(t, workloads[i], name).Share()), name)
 			}
@@ -82,7 +85,7 @@
 		r = results[0]
 	})
 	t.Logf("%s, %s: on time %.3f, worst %.2f, late %d, failed %d, longest interval %v, prefilled again %d, recovered after %d s, of offline %.3f",
-		w.Name, name, r.Share(), r.Worst, r.Late, r.Failed, r.Pause, r.ReadAgain, r.RecoverySeconds(w), r.Share()/OfflineShare(w, draws))
+		w.Name, name, r.Share(), r.WorstShare, r.Late, r.Failed, r.LongestInterval, r.RepeatedPrefill, r.RecoverySeconds(w), r.Share()/OfflineShare(w, draws))
 	return r
 }
 
@@ -100,11 +103,11 @@
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "loads.yaml")
 			require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-			_, err := ReadLoads(file)
+			_, err := ReadWorkloads(file)
 			assert.ErrorIs(t, err, ErrBadWorkload)
 		})
 	}
-	_, err := ReadLoads("testdata/none.yaml")
+	_, err := ReadWorkloads("testdata/none.yaml")
 	assert.ErrorIs(t, err, ErrBadWorkload)
 	_, err = VariantByName("none")
 	assert.ErrorIs(t, err, ErrBadWorkload)
--- a/experiment/workload.go
+++ b/experiment/workload.go
@@ -77,8 +77,8 @@
 	}
 )
 
-// ReadLoads reads a YAML list of workloads. Errors wrap ErrBadWorkload.
-func ReadLoads(file string) ([]Workload, error) {
+// ReadWorkloads reads a YAML list of workloads. Errors wrap ErrBadWorkload.
+func ReadWorkloads(file string) ([]Workload, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBadWorkload, err)
