--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -22,23 +22,23 @@
 // testPace describes engines that prefill 8 tokens per ms and take 27 ms per
 // event of 10 tokens, 30 ms beside other streams. Short answers have 990 of
 // 1,800 tokens, usual ones 1,350.
-var testPace = pace.Pace{Gap: 27 * time.Millisecond, Ratio: 1.0 / (8 * 27), Whole: 30 * time.Millisecond, ShortAnswer: 0.55, Length: 0.75}
+var testPace = pace.Pace{EventInterval: 27 * time.Millisecond, PrefillRatio: 1.0 / (8 * 27), LoadedInterval: 30 * time.Millisecond, ShortAnswer: 0.55, UsualAnswer: 0.75}
 
 // Guards against rejecting streams without estimates of the engines' speed.
 func TestNoEstimates(t *testing.T) {
-	s := Stream{Left: time.Millisecond, Prompt: 8000, Backlog: 90000, Output: 1800, Stride: 10}
-	assert.False(t, s.Hopeless())
-	assert.Zero(t, s.Likely())
+	s := Stream{Remaining: time.Millisecond, Prompt: 8000, Backlog: 90000, MaxTokens: 1800, TokensPerEvent: 10}
+	assert.False(t, s.MissesDeadline())
+	assert.Zero(t, s.ExpectedDuration())
 }
 
 func TestHopeless(t *testing.T) {
 	for _, tt := range cases.Load[hopelessCase](t, "testdata/hopeless.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
-			s := Stream{Pace: testPace, Left: tt.Remaining, Prompt: tt.Prompt, Backlog: tt.Backlog, Output: 1800, Stride: 10, After: tt.After}
+			s := Stream{Pace: testPace, Remaining: tt.Remaining, Prompt: tt.Prompt, Backlog: tt.Backlog, MaxTokens: 1800, TokensPerEvent: 10, ResumeOffset: tt.After}
 			if tt.Expected > 0 {
-				assert.InDelta(t, tt.Expected, s.Likely(), float64(time.Millisecond))
+				assert.InDelta(t, tt.Expected, s.ExpectedDuration(), float64(time.Millisecond))
 			}
-			assert.Equal(t, tt.Hopeless, s.Hopeless(), "needs %v of %v", s.MinDuration(), tt.Remaining)
+			assert.Equal(t, tt.Hopeless, s.MissesDeadline(), "needs %v of %v", s.MinDuration(), tt.Remaining)
 		})
 	}
 }
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -32,19 +32,19 @@
 type (
 	// Limit is the retry budget of one service.
 	Limit struct {
-		Ratio float64       // retries per call
-		Extra float64       // extra retries, for all instances together
-		Span  time.Duration // window of both
+		Ratio  float64       // retries per call
+		Extra  float64       // extra retries, for all instances together
+		Window time.Duration // window of both
 	}
 
-	// Entries returns the number of instances that share the limit, including this
+	// InstanceCount returns the number of instances that share the limit, including this
 	// one, and when the number was read; ok is false if it is unknown.
-	Entries func() (n int, at clock.Time, ok bool)
+	InstanceCount func() (n int, at clock.Time, ok bool)
 
 	// Budget counts calls and retries of every service. Make one with New.
 	Budget struct {
 		limit         Limit
-		instanceCount Entries
+		instanceCount InstanceCount
 		bucketSpan    time.Duration
 
 		mu       sync.Mutex
@@ -60,12 +60,12 @@
 
 // New returns a budget with the given limit. A nil instances means that the limit
 // isn't shared.
-func New(l Limit, instanceCount Entries) *Budget {
-	return &Budget{limit: l, instanceCount: instanceCount, bucketSpan: max(l.Span/buckets, time.Millisecond), services: map[string]*window{}}
+func New(l Limit, instanceCount InstanceCount) *Budget {
+	return &Budget{limit: l, instanceCount: instanceCount, bucketSpan: max(l.Window/buckets, time.Millisecond), services: map[string]*window{}}
 }
 
-// Called counts an incoming call to a service.
-func (b *Budget) Called(service string, now clock.Time) {
+// CountCall counts an incoming call to a service.
+func (b *Budget) CountCall(service string, now clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service, now)
@@ -101,11 +101,11 @@
 	if b.instanceCount == nil {
 		return b.limit.Extra
 	}
-	return extraMargin * b.limit.Extra / float64(b.Sharers(now))
+	return extraMargin * b.limit.Extra / float64(b.Instances(now))
 }
 
-// Sharers returns the number of instances that are assumed to share the limit.
-func (b *Budget) Sharers(now clock.Time) int {
+// Instances returns the number of instances that are assumed to share the limit.
+func (b *Budget) Instances(now clock.Time) int {
 	if b.instanceCount == nil {
 		return 1
 	}
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -12,7 +12,7 @@
 	"github.com/ragworthitch/ragworthitch/rwtest/cases"
 )
 
-var testLimit = Limit{Ratio: 0.8, Extra: 150, Span: 10 * time.Second}
+var testLimit = Limit{Ratio: 0.8, Extra: 150, Window: 10 * time.Second}
 
 func at(s float64) clock.Time {
 	return clock.Time(100*time.Second) + clock.Time(s*float64(time.Second))
@@ -33,7 +33,7 @@
 			b := New(testLimit, func() (int, clock.Time, bool) { return tt.Entries, at(0), tt.Entries > 0 })
 			for i, s := range tt.Steps {
 				for range s.Calls {
-					b.Called("svc", at(s.At))
+					b.CountCall("svc", at(s.At))
 				}
 				granted := 0
 				for range s.Spend {
@@ -134,7 +134,7 @@
 			}
 			if due {
 				calls[i]++
-				e.b.Called("svc", now)
+				e.b.CountCall("svc", now)
 			}
 			e.failing = tt.Zones == 0 || n%tt.Zones == int(float64(i)*tick.Seconds()/2.5)%tt.Zones
 			for range 4 {
@@ -155,7 +155,7 @@
 			}
 		}
 	}
-	maxUse, window := 0.0, int(testLimit.Span/tick)
+	maxUse, window := 0.0, int(testLimit.Window/tick)
 	for i := window; i <= ticks; i++ {
 		c, r := 0, 0
 		for j := i - window; j < i; j++ {
--- a/recall/spans.go
+++ b/cachelocation/spans.go
@@ -1,4 +1,4 @@
-package recall
+package cachelocation
 
 import (
 	"sync"
@@ -11,9 +11,9 @@
 	// spanLength is the time range of the locations in one stored row. A save writes
 	// the rows that changed instead of all locations.
 	spanLength = 2 * time.Second
-	// Slots is the number of rows, which are overwritten in turn. They cover maxAge
+	// Rows is the number of rows, which are overwritten in turn. They cover maxAge
 	// and the range that is still being filled.
-	Slots = int(maxAge/spanLength) + 1
+	Rows = int(maxAge/spanLength) + 1
 	// maxSpanLocations limits a row to the store's 64 kB, at 100 bytes a location.
 	maxSpanLocations = 600
 )
@@ -28,29 +28,29 @@
 
 	// Span holds the locations of one time range.
 	Span struct {
-		Slot        int // number of its row
-		Places      []Place
+		Row         int // number of its row
+		Locations   []Location
 		rangeNumber int64 // the range starts at rangeNumber * spanLength
 		saved       int   // number of saved Places
 	}
 )
 
 // Add adds newly recorded locations.
-func (s *Spans) Add(places []Place, now clock.Time) {
-	if len(places) == 0 {
+func (s *Spans) Add(locations []Location, now clock.Time) {
+	if len(locations) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	number := int64(now) / int64(spanLength)
 	if len(s.recent) == 0 || s.recent[len(s.recent)-1].rangeNumber != number {
-		s.recent = append(s.recent, &Span{rangeNumber: number, Slot: int(number % int64(Slots))})
-		s.recent = s.recent[max(0, len(s.recent)-Slots):] // older spans have expired
+		s.recent = append(s.recent, &Span{rangeNumber: number, Row: int(number % int64(Rows))})
+		s.recent = s.recent[max(0, len(s.recent)-Rows):] // older spans have expired
 	}
 	last := s.recent[len(s.recent)-1]
-	last.Places = append(last.Places, places...)
-	if excess := len(last.Places) - maxSpanLocations; excess > 0 {
-		last.Places = last.Places[excess:]
+	last.Locations = append(last.Locations, locations...)
+	if excess := len(last.Locations) - maxSpanLocations; excess > 0 {
+		last.Locations = last.Locations[excess:]
 		last.saved = max(0, last.saved-excess)
 	}
 }
@@ -61,9 +61,9 @@
 	defer s.mu.Unlock()
 	var out []Span
 	for _, span := range s.recent {
-		if span.saved < len(span.Places) {
+		if span.saved < len(span.Locations) {
 			snapshot := *span
-			snapshot.Places = append([]Place(nil), span.Places...)
+			snapshot.Locations = append([]Location(nil), span.Locations...)
 			out = append(out, snapshot)
 		}
 	}
@@ -77,7 +77,7 @@
 	for _, written := range spans {
 		for _, span := range s.recent {
 			if span.rangeNumber == written.rangeNumber {
-				span.saved = max(span.saved, len(written.Places))
+				span.saved = max(span.saved, len(written.Locations))
 			}
 		}
 	}
--- a/recall/spans_test.go
+++ b/cachelocation/spans_test.go
@@ -1,4 +1,4 @@
-package recall
+package cachelocation
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func makePlaces(from, to int) []Place {
-	var out []Place
+func makePlaces(from, to int) []Location {
+	var out []Location
 	for i := from; i < to; i++ {
-		out = append(out, Place{fmt.Sprint(i), engine("e1")})
+		out = append(out, Location{fmt.Sprint(i), engine("e1")})
 	}
 	return out
 }
@@ -27,14 +27,14 @@
 	s.Add(makePlaces(2, 3), start.Add(spanLength/2)) // during the save
 	s.Saved(first)
 	second := s.Unsaved()
-	assert.Equal(t, makePlaces(0, 3), second[0].Places, "a row holds its whole span")
-	assert.Equal(t, first[0].Slot, second[0].Slot)
+	assert.Equal(t, makePlaces(0, 3), second[0].Locations, "a row holds its whole span")
+	assert.Equal(t, first[0].Row, second[0].Row)
 
 	s.Add(makePlaces(3, 4), start.Add(spanLength)) // the save failed
 	third := s.Unsaved()
 	assert.Len(t, third, 2)
-	assert.Equal(t, makePlaces(3, 4), third[1].Places)
-	assert.NotEqual(t, third[0].Slot, third[1].Slot)
+	assert.Equal(t, makePlaces(3, 4), third[1].Locations)
+	assert.NotEqual(t, third[0].Row, third[1].Row)
 	s.Saved(third)
 	assert.Empty(t, s.Unsaved())
 }
@@ -47,13 +47,13 @@
 		s.Add(makePlaces(40*i, 40*i+40), start.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	all := s.Unsaved()
-	assert.Len(t, all, Slots)
+	assert.Len(t, all, Rows)
 	slots := map[int]bool{}
 	for _, p := range all {
-		slots[p.Slot] = true
-		assert.LessOrEqual(t, len(p.Places), maxSpanLocations)
+		slots[p.Row] = true
+		assert.LessOrEqual(t, len(p.Locations), maxSpanLocations)
 	}
-	assert.Len(t, slots, Slots, "no row holds two spans")
-	last := all[len(all)-1].Places
+	assert.Len(t, slots, Rows, "no row holds two spans")
+	last := all[len(all)-1].Locations
 	assert.Equal(t, fmt.Sprint(600*40-1), last[len(last)-1].Subject)
 }
--- a/cmd/experiment/goodput.go
+++ b/cmd/experiment/goodput.go
@@ -49,7 +49,7 @@
 	}
 	for i, f := range goodput.Faults {
 		y := 1.1 + faultSpacing*float64(i)
-		line, err := plotter.NewLine(plotter.XYs{{X: f.At().Seconds(), Y: y}, {X: f.At().Seconds() + f.Long().Seconds(), Y: y}})
+		line, err := plotter.NewLine(plotter.XYs{{X: f.At().Seconds(), Y: y}, {X: f.At().Seconds() + f.Duration().Seconds(), Y: y}})
 		if err != nil {
 			return err
 		}
--- a/cmd/ragworthitch/rollout.go
+++ b/cmd/ragworthitch/rollout.go
@@ -23,7 +23,7 @@
 
 // rolloutCmd simulates a roll-out, so that an operator can choose its duration.
 type rolloutCmd struct {
-	simulation rehearse.Play
+	simulation rehearse.Simulation
 	badness    string
 	rareShare  float64
 	draws      int
@@ -41,14 +41,14 @@
 	f.IntVar(&c.simulation.Targets, "targets", 102, "targets of each version")
 	f.Float64Var(&c.simulation.Rate, "rate", 33, "calls per second")
 	f.Float64Var(&c.rareShare, "rare", 0.06, "share of the calls on a second, rare route; 0: one route only")
-	f.DurationVar(&c.simulation.First, "first", 1700*time.Millisecond, "time from the start of an answer until it can be judged")
+	f.DurationVar(&c.simulation.TimeToJudge, "first", 1700*time.Millisecond, "time from the start of an answer until it can be judged")
 	f.DurationVar(&c.simulation.Length, "length", 5*time.Second, "duration of an answer")
 	f.DurationVar(&c.simulation.Duration, "duration", 16*time.Second, "duration of the roll-out")
 	f.StringVar(&c.badness, "badness", "good", "the new version: good, failing or slow")
-	f.Float64Var(&c.simulation.Part, "part", 0.3, "share of the new version's answers that are bad")
-	f.DurationVar(&c.simulation.After, "after", 0, "time after which the new version is bad")
+	f.Float64Var(&c.simulation.BadShare, "part", 0.3, "share of the new version's answers that are bad")
+	f.DurationVar(&c.simulation.BadAfter, "after", 0, "time after which the new version is bad")
 	f.Float64Var(&c.simulation.Load, "load", 0, "calls per target from which the new version is bad")
-	f.Float64Var(&c.simulation.OldBad, "usual", 0.01, "share of bad answers of both versions")
+	f.Float64Var(&c.simulation.BaselineBadShare, "usual", 0.01, "share of bad answers of both versions")
 	f.Float64Var(&c.simulation.Share, "share", 0.1, "share of the calls that a bad version may get")
 	f.Float64Var(&c.simulation.Slack, "slack", 50, "calls that a bad version may get in addition to its share")
 	f.Uint64Var(&c.simulation.Seed, "seed", 1, "seed of the first simulation")
@@ -58,15 +58,15 @@
 
 // validate returns an error if a flag is out of range.
 func (c *rolloutCmd) validate() error {
-	p := c.simulation
+	s := c.simulation
 	switch {
-	case p.Instances < 1 || p.Targets < 3 || p.Rate <= 0:
+	case s.Instances < 1 || s.Targets < 3 || s.Rate <= 0:
 		return fmt.Errorf("rollout: instances must be at least 1, targets at least 3 and rate above 0")
-	case p.Rate > maxRate || p.Instances > maxGroupSize || p.Targets > maxGroupSize || p.Duration > maxDuration || p.Length > maxDuration:
+	case s.Rate > maxRate || s.Instances > maxGroupSize || s.Targets > maxGroupSize || s.Duration > maxDuration || s.Length > maxDuration:
 		return fmt.Errorf("rollout: rate must be at most %d, instances and targets at most %d, duration and length at most %v", maxRate, maxGroupSize, maxDuration)
-	case p.Duration <= 0 || p.First <= 0 || p.Length < p.First:
+	case s.Duration <= 0 || s.TimeToJudge <= 0 || s.Length < s.TimeToJudge:
 		return fmt.Errorf("rollout: duration and first must be above 0, and length no less than first")
-	case c.rareShare < 0 || c.rareShare >= 1 || p.Part < 0 || p.Part > 1 || p.OldBad < 0 || p.OldBad > 1:
+	case c.rareShare < 0 || c.rareShare >= 1 || s.BadShare < 0 || s.BadShare > 1 || s.BaselineBadShare < 0 || s.BaselineBadShare > 1:
 		return fmt.Errorf("rollout: rare must be from 0 to below 1, part and usual from 0 to 1")
 	case c.draws < 1 || c.draws > maxDraws:
 		return fmt.Errorf("rollout: draws must be 1 to %d", maxDraws)
@@ -117,9 +117,9 @@
 func (c *rolloutCmd) print(r rehearse.Result) error {
 	if !c.json {
 		fmt.Printf("seed %d: %v after %v; %d of %d calls went to the new version, %.0f allowed if it is bad; %d bad answers\n",
-			c.simulation.Seed, r.State, r.At, r.Exposed, r.Reached, r.Bound, r.Bad)
+			c.simulation.Seed, r.State, r.At, r.Exposed, r.Attempts, r.Bound, r.Bad)
 		return nil
 	}
-	return json.NewEncoder(os.Stdout).Encode(rolloutResult{Seed: c.simulation.Seed, State: r.State.String(), AtS: r.At.Seconds(), Calls: r.Reached,
+	return json.NewEncoder(os.Stdout).Encode(rolloutResult{Seed: c.simulation.Seed, State: r.State.String(), AtS: r.At.Seconds(), Calls: r.Attempts,
 		Exposed: r.Exposed, Bound: r.Bound, Bad: r.Bad, LastSentS: r.LastAfter.Seconds()})
 }
--- a/cmd/ragworthitch/script_test.go
+++ b/cmd/ragworthitch/script_test.go
@@ -77,7 +77,7 @@
 	label := args[0]
 	bin, err := exec.LookPath("ragworthitch")
 	ts.Check(err)
-	env := []string{platform.BootEnv + "=" + ts.Getenv(platform.BootEnv)}
+	env := []string{platform.SettingsEnv + "=" + ts.Getenv(platform.SettingsEnv)}
 	for i := range portsPerScript {
 		name := fmt.Sprintf("P%d", i)
 		env = append(env, name+"="+ts.Getenv(name))
--- a/cmd/ragworthitch/serve.go
+++ b/cmd/ragworthitch/serve.go
@@ -23,7 +23,7 @@
 func (*serveCmd) Name() string     { return "serve" }
 func (*serveCmd) Synopsis() string { return "run an entry instance on the platform" }
 func (*serveCmd) Usage() string {
-	return "serve [-log LEVEL]\n\tServe callers on the platform. The environment variable $" + platform.BootEnv + " names the platform's settings file.\n"
+	return "serve [-log LEVEL]\n\tServe callers on the platform. The environment variable $" + platform.SettingsEnv + " names the platform's settings file.\n"
 }
 func (c *serveCmd) SetFlags(f *flag.FlagSet) { f.StringVar(&c.logLevel, "log", "info", "log level") }
 
@@ -31,22 +31,22 @@
 	// SIGHUP is handled first, as its default action ends the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	boot, err := platform.LoadBoot()
+	s, err := platform.LoadSettings()
 	if err != nil {
-		return fail(oops.In("serve").With("file", os.Getenv(platform.BootEnv)).Wrap(err))
+		return fail(oops.In("serve").With("file", os.Getenv(platform.SettingsEnv)).Wrap(err))
 	}
-	scope, reporter, closeScope := metrics.New(boot.Node())
+	scope, reporter, closeScope := metrics.New(s.Node())
 	defer closeScope()
 	dropped := scope.Counter("log_lines_dropped")
 	logWriter, flush := logs.Bounded(os.Stdout, func() { dropped.Inc(1) })
 	defer flush()
-	log := logs.New(logWriter, boot.Node(), boot.Zone(), c.logLevel)
+	log := logs.New(logWriter, s.Node(), s.Zone(), c.logLevel)
 	// Redirects the standard logger, to which net/http writes connection errors
 	// and unsolicited responses.
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(log.With().Str("level", "info").Logger())
 	go reloadOnHangup(ctx, hangups, log)
-	if err := instance.New(boot, log, scope, reporter.Text()).Run(ctx); err != nil {
+	if err := instance.New(s, log, scope, reporter.TextHandler()).Run(ctx); err != nil {
 		log.Error().Err(err).Msg("instance: ended")
 		return subcommands.ExitFailure
 	}
@@ -63,11 +63,11 @@
 			return
 		case <-hangups:
 		}
-		boot, err := platform.LoadBoot()
+		s, err := platform.LoadSettings()
 		if err != nil {
 			log.Error().Err(err).Msg("instance: settings not reloaded; those in use stay")
 			continue
 		}
-		log.Info().Str("front", boot.Front()).Msg("instance: settings read again")
+		log.Info().Str("front", s.CallerAddr()).Msg("instance: settings read again")
 	}
 }
--- a/cmd/ragworthitch/settings.go
+++ b/cmd/ragworthitch/settings.go
@@ -56,10 +56,10 @@
 	if err != nil {
 		return fail(err)
 	}
-	boot, err := platform.ParseBoot(b)
+	s, err := platform.ParseSettings(b)
 	if err != nil {
 		return fail(fmt.Errorf("%s: %w", path, err))
 	}
-	fmt.Printf("settings: %s is valid: instance %s in zone %s, callers at %s, store at %s\n", path, boot.Node(), boot.Zone(), boot.Front(), boot.Store())
+	fmt.Printf("settings: %s is valid: instance %s in zone %s, callers at %s, store at %s\n", path, s.Node(), s.Zone(), s.CallerAddr(), s.Store())
 	return subcommands.ExitSuccess
 }
--- a/cmd/ragworthitch/soakstore.go
+++ b/cmd/ragworthitch/soakstore.go
@@ -36,7 +36,7 @@
 		addr, host, hasHost := strings.Cut(arg, "=")
 		handler := standIn.Handler()
 		if hasHost {
-			handler = standIn.HandlerAs(func(v []byte) []byte { return bytes.ReplaceAll(v, []byte(loopbackPrefix), []byte(`"`+host+":")) })
+			handler = standIn.HandlerWithView(func(v []byte) []byte { return bytes.ReplaceAll(v, []byte(loopbackPrefix), []byte(`"`+host+":")) })
 		}
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -49,7 +49,7 @@
 			return srv.Close()
 		})
 	}
-	p.Go(standIn.Lapse)
+	p.Go(standIn.ExpireTargets)
 	fmt.Println("store: started")
 	if err := p.Wait(); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fail(err)
--- a/cmd/ragworthitch/timeline.go
+++ b/cmd/ragworthitch/timeline.go
@@ -41,10 +41,10 @@
 func (c *timelineCmd) print(files []string) error {
 	switch {
 	case c.request != "":
-		n, err := logs.Story(os.Stdout, c.request, files)
+		n, err := logs.RequestHistory(os.Stdout, c.request, files)
 		return requireLines(n, err, "request", c.request)
 	case c.target != "":
-		n, err := logs.OfTarget(os.Stdout, c.target, files)
+		n, err := logs.TargetHistory(os.Stdout, c.target, files)
 		return requireLines(n, err, "target", c.target)
 	}
 	return logs.Timeline(os.Stdout, files)
--- a/desired.go
+++ b/desired.go
@@ -34,20 +34,20 @@
 
 	// RouteParams are the fields of a Route.
 	RouteParams struct {
-		Name       string
-		Host       string // lower case, without port
-		Prefix     string // begins and ends with a slash
-		Kind       CallKind
-		Timeout    time.Duration // deadline of an answer, from the arrival of the call
-		Target     time.Duration // objective for the time to the answer (streams: to the first event)
-		GapTarget  time.Duration // streams: objective for the event interval
-		Stall      time.Duration // streams: time without an event after which an attempt counts as lost; 0: not set
-		Priority   int           // 0 is the most urgent
-		Shares     []Share       // services of the route; several if its calls are split
-		MaxTargets int           // limit on the attempts of one call
-		Public     bool          // calls need no key
-		Sticky     bool          // calls share prompt prefixes: prefer the engine that caches them
-		Resumable  bool          // a stream may fail over to another target
+		Name              string
+		Host              string // lower case, without port
+		Prefix            string // begins and ends with a slash
+		Kind              CallKind
+		Timeout           time.Duration // deadline of an answer, from the arrival of the call
+		Objective         time.Duration // objective for the time to the answer (streams: to the first event)
+		IntervalObjective time.Duration // streams: objective for the event interval
+		StallTimeout      time.Duration // streams: time without an event after which an attempt counts as lost; 0: not set
+		Priority          int           // 0 is the most urgent
+		Shares            []Share       // services of the route; several if its calls are split
+		MaxAttempts       int           // limit on the attempts of one call
+		Public            bool          // calls need no key
+		Sticky            bool          // calls share prompt prefixes: prefer the engine that caches them
+		Resumable         bool          // a stream may fail over to another target
 	}
 
 	// Share is a service's weight among the services of a route.
@@ -69,12 +69,12 @@
 
 	// Engine describes the model engines of a service.
 	Engine struct {
-		Slots      int           // maximum number of requests in a batch
-		KVTokens   int           // KV cache capacity, in tokens
-		Moves      bool          // can migrate a stream's KV cache to another engine on request
-		Backups    bool          // can keep a replica of a stream's KV cache at another engine
-		Stride     int           // tokens per event
-		CopyExpiry time.Duration // time after which an unused replica is deleted
+		Slots          int           // maximum number of requests in a batch
+		KVTokens       int           // KV cache capacity, in tokens
+		CanMigrate     bool          // can migrate a stream's KV cache to another engine on request
+		CanReplicate   bool          // can keep a replica of a stream's KV cache at another engine
+		TokensPerEvent int           // tokens per event
+		ReplicaExpiry  time.Duration // time after which an unused replica is deleted
 	}
 
 	// Organisation is a customer, with the keys of its callers. Make one with
@@ -144,16 +144,16 @@
 // Timeout returns the deadline of an answer, from the arrival of the call.
 func (r *Route) Timeout() time.Duration { return r.params.Timeout }
 
-// Target returns the objective for the time to an answer; to the first event,
+// Objective returns the objective for the time to an answer; to the first event,
 // for streams.
-func (r *Route) Target() time.Duration { return r.params.Target }
+func (r *Route) Objective() time.Duration { return r.params.Objective }
 
-// GapTarget returns the objective for the event interval of a stream.
-func (r *Route) GapTarget() time.Duration { return r.params.GapTarget }
+// IntervalObjective returns the objective for the event interval of a stream.
+func (r *Route) IntervalObjective() time.Duration { return r.params.IntervalObjective }
 
-// Stall returns the time without an event after which an attempt of a stream
+// StallTimeout returns the time without an event after which an attempt of a stream
 // counts as lost; 0 if it is not set.
-func (r *Route) Stall() time.Duration { return r.params.Stall }
+func (r *Route) StallTimeout() time.Duration { return r.params.StallTimeout }
 
 // Priority returns the route's priority; 0 is the most urgent.
 func (r *Route) Priority() int { return r.params.Priority }
@@ -164,15 +164,15 @@
 // Sticky reports whether the route's calls share prompt prefixes.
 func (r *Route) Sticky() bool { return r.params.Sticky }
 
-// MaxTargets returns the limit on the attempts of one call; at least 1.
-func (r *Route) MaxTargets() int { return max(1, r.params.MaxTargets) }
+// MaxAttempts returns the limit on the attempts of one call; at least 1.
+func (r *Route) MaxAttempts() int { return max(1, r.params.MaxAttempts) }
 
 // Public reports whether calls need no key.
 func (r *Route) Public() bool { return r.params.Public }
 
-// Idempotent reports whether a call of the route may run more than once: a safe
+// IsIdempotent reports whether a call of the route may run more than once: a safe
 // call or a resumable stream.
-func (r *Route) Idempotent() bool {
+func (r *Route) IsIdempotent() bool {
 	return r.params.Kind == CallSafe || r.params.Kind == CallStream && r.params.Resumable
 }
 
--- a/desired/bench_test.go
+++ b/desired/bench_test.go
@@ -15,11 +15,11 @@
 			for i := range n.orgs {
 				spec.Keys[fmt.Sprint("key-", i)] = fmt.Sprint("org-", i)
 			}
-			book := NewBook(testAges)
-			book.Apply(spec.state(b))
-			book.Proved(at(1))
+			t := NewTracker(testAges)
+			t.Apply(spec.state(b))
+			t.MarkVerified(at(1))
 			for b.Loop() {
-				if _, err := book.Judge(at(1.5), "h1.example", "/p1/x", "key-3", 0); err != nil {
+				if _, err := t.Judge(at(1.5), "h1.example", "/p1/x", "key-3", 0); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/desired/book.go
+++ b/desired/book.go
@@ -25,9 +25,9 @@
 )
 
 type (
-	// Book holds the newest desired state that this instance has read. Make one with
+	// Tracker holds the newest desired state that this instance has read. Make one with
 	// NewBook.
-	Book struct {
+	Tracker struct {
 		ages       Ages
 		current    atomic.Pointer[table]
 		verifiedAt atomic.Int64 // clock.Time of the start of the last successful read
@@ -37,9 +37,9 @@
 
 	// Ages limits how old the verification of the state may be.
 	Ages struct {
-		// Deny is the maximum age for a final rejection (no route, unknown key). It is
+		// Reject is the maximum age for a final rejection (no route, unknown key). It is
 		// shorter than the time within which a new version has to apply.
-		Deny time.Duration
+		Reject time.Duration
 		// Key is the maximum age for accepting a key. It is shorter than the time within
 		// which a revoked key has to be rejected.
 		Key time.Duration
@@ -58,26 +58,26 @@
 	}
 )
 
-// NewBook returns a book without a state.
-func NewBook(ages Ages) *Book { return &Book{ages: ages} }
+// NewTracker returns a book without a state.
+func NewTracker(ages Ages) *Tracker { return &Tracker{ages: ages} }
 
 // Apply replaces the state by a newer one and reports whether d was newer.
-func (b *Book) Apply(d *ragworthitch.DesiredState) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if cur := b.current.Load(); cur != nil && d.Version() <= cur.state.Version() {
+func (t *Tracker) Apply(d *ragworthitch.DesiredState) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if cur := t.current.Load(); cur != nil && d.Version() <= cur.state.Version() {
 		return false
 	}
-	b.current.Store(newTable(d))
+	t.current.Store(newTable(d))
 	return true
 }
 
-// Proved records that the applied state was the newest one at a time: the start of
+// MarkVerified records that the applied state was the newest one at a time: the start of
 // a read of the store that succeeded.
-func (b *Book) Proved(at clock.Time) {
+func (t *Tracker) MarkVerified(at clock.Time) {
 	for {
-		old := b.verifiedAt.Load()
-		if int64(at) <= old || b.verifiedAt.CompareAndSwap(old, int64(at)) {
+		old := t.verifiedAt.Load()
+		if int64(at) <= old || t.verifiedAt.CompareAndSwap(old, int64(at)) {
 			return
 		}
 	}
@@ -85,18 +85,18 @@
 
 // Age returns how long ago the state was verified to be the newest; ok is false if
 // it never was.
-func (b *Book) Age(now clock.Time) (age time.Duration, ok bool) {
-	verifiedAt := b.verifiedAt.Load()
-	if verifiedAt == 0 || b.current.Load() == nil {
+func (t *Tracker) Age(now clock.Time) (age time.Duration, ok bool) {
+	verifiedAt := t.verifiedAt.Load()
+	if verifiedAt == 0 || t.current.Load() == nil {
 		return 0, false
 	}
 	return now.Sub(clock.Time(verifiedAt)), true
 }
 
 // State returns the applied state, or nil if there is none.
-func (b *Book) State() *ragworthitch.DesiredState {
-	if t := b.current.Load(); t != nil {
-		return t.state
+func (t *Tracker) State() *ragworthitch.DesiredState {
+	if current := t.current.Load(); current != nil {
+		return current.state
 	}
 	return nil
 }
@@ -104,32 +104,32 @@
 // Judge decides what a call to host and path with a key may do. point, in [0, 1),
 // picks the service of a split route. Errors: ErrStateUnknown, ErrNoRoute and
 // ErrNoKey. Version and Age of the grant are set unless no state was ever verified.
-func (b *Book) Judge(now clock.Time, host, path, key string, point float64) (Grant, error) {
-	age, ok := b.Age(now)
+func (t *Tracker) Judge(now clock.Time, host, path, key string, point float64) (Grant, error) {
+	age, ok := t.Age(now)
 	if !ok {
 		return Grant{}, ErrStateUnknown
 	}
-	t := b.current.Load()
-	g := Grant{Version: t.state.Version(), Age: age}
-	g.Route = t.route(host, path)
+	current := t.current.Load()
+	g := Grant{Version: current.state.Version(), Age: age}
+	g.Route = current.route(host, path)
 	if g.Route == nil {
-		return g, b.rejection(age, ErrNoRoute)
+		return g, t.rejection(age, ErrNoRoute)
 	}
 	g.Priority = g.Route.Priority()
-	if t.keysRequired && !g.Route.Public() {
-		if age > b.ages.Key {
+	if current.keysRequired && !g.Route.Public() {
+		if age > t.ages.Key {
 			return g, ErrStateUnknown
 		}
-		org := t.orgsByKey[key]
+		org := current.orgsByKey[key]
 		if org == nil {
-			return g, b.rejection(age, ErrNoKey)
+			return g, t.rejection(age, ErrNoKey)
 		}
 		g.Org = org.Name()
 		if org.Priority() >= 0 {
 			g.Priority = org.Priority()
 		}
 	}
-	svc, ok := t.state.Service(g.Route.Service(point))
+	svc, ok := current.state.Service(g.Route.Service(point))
 	if !ok {
 		return g, ErrStateUnknown
 	}
@@ -139,8 +139,8 @@
 
 // rejection returns err, or ErrStateUnknown if the verification is too old for a final
 // rejection: a newer version may allow the call.
-func (b *Book) rejection(age time.Duration, err error) error {
-	if age > b.ages.Deny {
+func (t *Tracker) rejection(age time.Duration, err error) error {
+	if age > t.ages.Reject {
 		return ErrStateUnknown
 	}
 	return err
--- a/desired/book_test.go
+++ b/desired/book_test.go
@@ -15,7 +15,7 @@
 	"github.com/ragworthitch/ragworthitch/rwtest/cases"
 )
 
-var testAges = Ages{Deny: 1900 * time.Millisecond, Key: 4 * time.Second}
+var testAges = Ages{Reject: 1900 * time.Millisecond, Key: 4 * time.Second}
 
 type (
 	judgeCase struct {
@@ -59,17 +59,17 @@
 func TestJudge(t *testing.T) {
 	for _, tt := range cases.Load[judgeCase](t, "testdata/judge.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
-			book := NewBook(testAges)
+			tracker := NewTracker(testAges)
 			for i, s := range tt.Steps {
 				switch {
 				case s.Apply != nil:
-					book.Apply(s.Apply.state(t))
+					tracker.Apply(s.Apply.state(t))
 				case s.Judge != nil:
-					g, err := book.Judge(at(s.Judge.At), s.Judge.Host, s.Judge.Path, s.Judge.Key, 0)
+					g, err := tracker.Judge(at(s.Judge.At), s.Judge.Host, s.Judge.Path, s.Judge.Key, 0)
 					assert.Equal(t, s.Judge.Want, verdict(g, err), "step %d", i)
 					assert.Equal(t, s.Judge.Org, g.Org, "step %d", i)
 				default:
-					book.Proved(at(s.Proved))
+					tracker.MarkVerified(at(s.Proved))
 				}
 			}
 		})
@@ -109,7 +109,7 @@
 type storeModel struct {
 	t             testing.TB
 	rng           *rand.Rand
-	book          *Book
+	tracker       *Tracker
 	now           clock.Time
 	state         stateSpec
 	revokedAt     map[string]clock.Time // by key
@@ -124,7 +124,7 @@
 }
 
 func newStoreModel(t testing.TB, rng *rand.Rand) *storeModel {
-	return &storeModel{t: t, rng: rng, book: NewBook(testAges), now: at(1), revokedAt: map[string]clock.Time{},
+	return &storeModel{t: t, rng: rng, tracker: NewTracker(testAges), now: at(1), revokedAt: map[string]clock.Time{},
 		state: stateSpec{Version: 1, Routes: []string{"a.example/x/"}, Keys: map[string]string{"k0": "o0", "k1": "o1", "k2": "o2"}}}
 }
 
@@ -174,13 +174,13 @@
 	if m.rng.IntN(4) == 0 {
 		return // the read failed
 	}
-	m.book.Apply(r.state.state(m.t))
-	m.book.Proved(r.startedAt)
+	m.tracker.Apply(r.state.state(m.t))
+	m.tracker.MarkVerified(r.startedAt)
 }
 
 func (m *storeModel) call() {
 	k := []string{"k0", "k1", "k2"}[m.rng.IntN(3)]
-	g, err := m.book.Judge(m.now, "a.example", "/x/1", k, 0)
+	g, err := m.tracker.Judge(m.now, "a.example", "/x/1", k, 0)
 	if g.Version != 0 {
 		require.GreaterOrEqual(m.t, g.Version, m.newestVersion, "decided by an older version than before")
 		m.newestVersion = g.Version
--- a/discovery/changelog_test.go
+++ b/discovery/changelog_test.go
@@ -20,17 +20,17 @@
 func TestGroupsTargetChanges(t *testing.T) {
 	var log bytes.Buffer
 	var targets registry.Registry
-	sink := NewTargetSink(&targets, desired.NewBook(desired.Ages{}), zerolog.New(&log), func() {})
-	entry := func(n, boot int) Entry {
+	sink := NewTargetSink(&targets, desired.NewTracker(desired.Ages{}), zerolog.New(&log), func() {})
+	entry := func(n, boot int) TargetRow {
 		id := fmt.Sprintf("i-%d-%d", n, boot)
-		return Entry{ID: id, Target: ragworthitch.NewTarget(ragworthitch.TargetParams{ID: id, Started: int64(boot), Service: "llm",
+		return TargetRow{ID: id, Target: ragworthitch.NewTarget(ragworthitch.TargetParams{ID: id, Started: int64(boot), Service: "llm",
 			Address: fmt.Sprintf("10.0.%d.%d:80", boot, n), Zone: fmt.Sprint("z", n%5), Slots: 8})}
 	}
 	lines := func() int {
 		defer log.Reset()
 		return strings.Count(log.String(), "\n")
 	}
-	var all []Entry
+	var all []TargetRow
 	for n := range 256 {
 		all = append(all, entry(n, 1))
 	}
@@ -38,17 +38,17 @@
 	assert.Contains(t, log.String(), `"count":52`)
 	assert.Equal(t, 5, lines())
 
-	var changed []Entry
+	var changed []TargetRow
 	for n := 0; n < 256; n += 5 {
-		changed = append(changed, Entry{ID: entry(n, 1).ID, Gone: true}, entry(n, 2))
+		changed = append(changed, TargetRow{ID: entry(n, 1).ID, Gone: true}, entry(n, 2))
 	}
-	sink.Change(changed, clock.Now())
+	sink.ApplyChanges(changed, clock.Now())
 	assert.Contains(t, log.String(), "i-250-2", "a grouped line lists all targets")
 	assert.Equal(t, 2, lines())
 
-	sink.Change([]Entry{entry(1, 3)}, clock.Now())
+	sink.ApplyChanges([]TargetRow{entry(1, 3)}, clock.Now())
 	assert.Contains(t, log.String(), `"target":"i-1-3"`)
 	assert.Equal(t, 1, lines())
-	sink.Change([]Entry{entry(1, 3)}, clock.Now())
+	sink.ApplyChanges([]TargetRow{entry(1, 3)}, clock.Now())
 	assert.Zero(t, lines(), "a heartbeat is not logged")
 }
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -38,71 +38,71 @@
 )
 
 var (
-	// ErrMissed is returned by a Source when the changes since a version are no
+	// ErrChangesMissed is returned by a Source when the changes since a version are no
 	// longer available: the whole table has to be read again.
-	ErrMissed = errors.New("discovery: changes were missed")
+	ErrChangesMissed = errors.New("discovery: changes were missed")
 
 	errRelayFailed = errors.New("discovery: relay failed")
 	errPanicked    = errors.New("discovery: panic")
 )
 
 type (
-	// Reading is the result of a call to a Source.
-	Reading[T any] struct {
+	// ReadResult is the result of a call to a Source.
+	ReadResult[T any] struct {
 		Rows    []T
 		Version int64
 		// Relayed is set if another instance read the rows from the store. Proved
 		// and Away are only set then.
-		Relayed bool
-		Proved  clock.Time // Rows contains all changes up to this time
-		Away    clock.Time // when the store last failed to answer that instance; 0: never
+		Relayed       bool
+		AsOf          clock.Time // Rows contains all changes up to this time
+		UnavailableAt clock.Time // when the store last failed to answer that instance; 0: never
 	}
 
 	// Source is a table of the store.
 	Source[T any] interface {
 		// Read reads the whole table.
-		Read(ctx context.Context) (Reading[T], error)
+		Read(ctx context.Context) (ReadResult[T], error)
 		// Changes waits for rows that changed after a version, at most for wait.
-		Changes(ctx context.Context, after int64, wait time.Duration) (Reading[T], error)
-		// Drop closes idle connections, which may be dead.
-		Drop()
+		Changes(ctx context.Context, after int64, wait time.Duration) (ReadResult[T], error)
+		// CloseIdleConnections closes idle connections, which may be dead.
+		CloseIdleConnections()
 	}
 
 	// Relay is a Source that reads the table from another instance, which polls
 	// the store for several. Its calls have timeouts of their own.
 	Relay[T any] interface {
 		Source[T]
-		// Use reports whether the next call should go to the relay.
-		Use() bool
+		// ShouldAsk reports whether the next call should go to the relay.
+		ShouldAsk() bool
 	}
 
 	// Sink receives the rows of a table from a Follower.
 	Sink[T any] interface {
 		// Replace sets the whole table; rows contains all changes up to at.
 		Replace(rows []T, at clock.Time)
-		// Change applies all changes up to at; rows may be empty.
-		Change(rows []T, at clock.Time)
-		// Away records that the store was unavailable at a time.
-		Away(at clock.Time)
+		// ApplyChanges applies all changes up to at; rows may be empty.
+		ApplyChanges(rows []T, at clock.Time)
+		// MarkUnavailable records that the store was unavailable at a time.
+		MarkUnavailable(at clock.Time)
 	}
 
 	// Follower copies a table from a Source to a Sink and keeps the copy up to date.
 	Follower[T any] struct {
-		Name   string // of the table, for logs
-		Source Source[T]
-		Relay  Relay[T] // called in place of Source while its Use returns true; nil: never
-		Sink   Sink[T]
-		Wait   time.Duration // how long a call waits for changes
-		Gap    time.Duration // minimum time between the starts of two calls
-		Reread time.Duration // interval of reads of the whole table; 0: never
+		Name           string // of the table, for logs
+		Source         Source[T]
+		Relay          Relay[T] // called in place of Source while its Use returns true; nil: never
+		Sink           Sink[T]
+		MaxWait        time.Duration // how long a call waits for changes
+		MinInterval    time.Duration // minimum time between the starts of two calls
+		RereadInterval time.Duration // interval of reads of the whole table; 0: never
 		// Recovery is shared with the other followers of the store; nil: not shared.
 		// With AwaitsRecovery, this follower waits for another follower's successful
 		// call after two failed calls of its own.
 		Recovery       *RecoverySignal
 		AwaitsRecovery bool
-		// Backoff returns the maximum delay after a failed call; nil: maxBackoff.
-		Backoff func() time.Duration
-		Log     zerolog.Logger
+		// MaxBackoff returns the maximum delay after a failed call; nil: maxBackoff.
+		MaxBackoff func() time.Duration
+		Log        zerolog.Logger
 
 		version       int64
 		lastFullRead  clock.Time
@@ -154,25 +154,25 @@
 
 // poll makes one call to the relay or the source and delivers the result.
 func (f *Follower[T]) poll(ctx context.Context, start clock.Time) error {
-	f.viaRelay = f.Relay != nil && f.Relay.Use()
+	f.viaRelay = f.Relay != nil && f.Relay.ShouldAsk()
 	if f.viaRelay {
 		return f.pollRelay(ctx, start)
 	}
-	full := f.version == 0 || f.Reread > 0 && start.Sub(f.lastFullRead) > f.Reread
+	full := f.version == 0 || f.RereadInterval > 0 && start.Sub(f.lastFullRead) > f.RereadInterval
 	timeout, wait := f.callLimits()
 	if full {
 		wait = 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout+wait)
 	defer cancel()
-	reading, err := f.fetch(ctx, f.Source, full, wait)
+	result, err := f.fetch(ctx, f.Source, full, wait)
 	if err != nil {
 		return err
 	}
 	if elapsed := clock.Now().Sub(start); !full && elapsed >= wait {
 		f.latency = elapsed - wait // no rows changed: the source waited for the full time
 	}
-	f.deliver(reading, full, start, start)
+	f.deliver(result, full, start, start)
 	return nil
 }
 
@@ -180,23 +180,23 @@
 // table regularly, so this one skips its own rereads.
 func (f *Follower[T]) pollRelay(ctx context.Context, start clock.Time) error {
 	full := f.version == 0
-	reading, err := f.fetch(ctx, f.Relay, full, f.Wait)
-	if errors.Is(err, ErrMissed) {
+	result, err := f.fetch(ctx, f.Relay, full, f.MaxWait)
+	if errors.Is(err, ErrChangesMissed) {
 		return err
 	}
 	if err != nil {
 		return errRelayFailed
 	}
-	if reading.Away > f.unavailableAt {
-		f.unavailableAt = reading.Away
-		f.Sink.Away(reading.Away)
+	if result.UnavailableAt > f.unavailableAt {
+		f.unavailableAt = result.UnavailableAt
+		f.Sink.MarkUnavailable(result.UnavailableAt)
 	}
-	f.deliver(reading, full, start, reading.Proved)
+	f.deliver(result, full, start, result.AsOf)
 	f.lastFullRead = start
 	return nil
 }
 
-func (f *Follower[T]) fetch(ctx context.Context, source Source[T], full bool, wait time.Duration) (Reading[T], error) {
+func (f *Follower[T]) fetch(ctx context.Context, source Source[T], full bool, wait time.Duration) (ReadResult[T], error) {
 	if full {
 		return source.Read(ctx)
 	}
@@ -205,7 +205,7 @@
 
 // deliver passes the result of a call that began at start to the sink. The result
 // contains all changes up to completeAt.
-func (f *Follower[T]) deliver(r Reading[T], full bool, start, completeAt clock.Time) {
+func (f *Follower[T]) deliver(r ReadResult[T], full bool, start, completeAt clock.Time) {
 	f.recordAnswer(start)
 	if full {
 		f.version, f.lastFullRead = r.Version, start
@@ -213,7 +213,7 @@
 		return
 	}
 	f.version = max(f.version, r.Version)
-	f.Sink.Change(r.Rows, completeAt)
+	f.Sink.ApplyChanges(r.Rows, completeAt)
 }
 
 // callLimits returns the wait to request in the next call and the timeout beyond that
@@ -227,14 +227,14 @@
 	if f.relayFailed {
 		return timeout, 0
 	}
-	return timeout, max(0, f.Wait-f.latency)
+	return timeout, max(0, f.MaxWait-f.latency)
 }
 
 // recordAnswer handles an answer to a call that began at a time. After failed calls,
 // the store counts as unavailable until that time.
 func (f *Follower[T]) recordAnswer(at clock.Time) {
 	if f.failures > 0 {
-		f.Sink.Away(at)
+		f.Sink.MarkUnavailable(at)
 	}
 	if f.Recovery != nil {
 		f.Recovery.broadcast()
@@ -249,7 +249,7 @@
 		f.Log.Info().Str("table", f.Name).Int("failedCalls", f.failures).Int64("version", f.version).Msg("discovery: store available again")
 		f.failures = 0
 	case err == nil:
-	case errors.Is(err, ErrMissed):
+	case errors.Is(err, ErrChangesMissed):
 		f.version = 0
 		f.Log.Warn().Str("table", f.Name).AnErr("cause", err).Msg("discovery: changes missed; reading the whole table again")
 	default:
@@ -257,8 +257,8 @@
 			f.Log.Warn().Str("table", f.Name).Int64("version", f.version).Dur("after", clock.Now().Sub(start)).Err(err).Msg("discovery: store unavailable")
 		}
 		f.failures++
-		f.Sink.Away(clock.Now())
-		f.Source.Drop()
+		f.Sink.MarkUnavailable(clock.Now())
+		f.Source.CloseIdleConnections()
 	}
 }
 
@@ -266,16 +266,16 @@
 // exponentially, with jitter.
 func (f *Follower[T]) nextDelay(err error, elapsed time.Duration) time.Duration {
 	switch {
-	case errors.Is(err, ErrMissed):
+	case errors.Is(err, ErrChangesMissed):
 		return 0
 	case err == nil && f.viaRelay:
-		return max(min(f.Gap, minRelayInterval)-elapsed, 0)
+		return max(min(f.MinInterval, minRelayInterval)-elapsed, 0)
 	case err == nil:
-		return max(f.Gap-elapsed, 0)
+		return max(f.MinInterval-elapsed, 0)
 	}
 	maxDelay := maxBackoff
-	if f.Backoff != nil {
-		maxDelay = f.Backoff()
+	if f.MaxBackoff != nil {
+		maxDelay = f.MaxBackoff()
 	}
 	delay := min(initialBackoff<<min(f.failures-1, 6), maxDelay)
 	return time.Duration(float64(delay) * (0.5 + rand.Float64()))
--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -26,34 +26,36 @@
 	cancel  context.CancelFunc
 }
 
-func (s *scriptedStore) next(ctx context.Context, call string) (Reading[int], error) {
+func (s *scriptedStore) next(ctx context.Context, call string) (ReadResult[int], error) {
 	s.mu.Lock()
 	s.calls = append(s.calls, call)
 	if len(s.answers) == 0 {
 		s.mu.Unlock()
 		s.cancel()
 		<-ctx.Done()
-		return Reading[int]{}, ctx.Err()
+		return ReadResult[int]{}, ctx.Err()
 	}
 	answer := s.answers[0]
 	s.answers = s.answers[1:]
 	s.mu.Unlock()
 	rows, version, err := answer(ctx)
-	return Reading[int]{Rows: rows, Version: version}, err
+	return ReadResult[int]{Rows: rows, Version: version}, err
 }
 
-func (s *scriptedStore) Read(ctx context.Context) (Reading[int], error) { return s.next(ctx, "read") }
-func (s *scriptedStore) Changes(ctx context.Context, after int64, _ time.Duration) (Reading[int], error) {
+func (s *scriptedStore) Read(ctx context.Context) (ReadResult[int], error) {
+	return s.next(ctx, "read")
+}
+func (s *scriptedStore) Changes(ctx context.Context, after int64, _ time.Duration) (ReadResult[int], error) {
 	return s.next(ctx, "changes")
 }
-func (s *scriptedStore) Drop() { s.record("drop") }
+func (s *scriptedStore) CloseIdleConnections() { s.record("drop") }
 
 func (s *scriptedStore) Replace(rows []int, _ clock.Time) { s.record("replace"); s.rows = rows }
-func (s *scriptedStore) Change(rows []int, _ clock.Time) {
+func (s *scriptedStore) ApplyChanges(rows []int, _ clock.Time) {
 	s.record("change")
 	s.rows = append(s.rows, rows...)
 }
-func (s *scriptedStore) Away(clock.Time) { s.record("unavailable") }
+func (s *scriptedStore) MarkUnavailable(clock.Time) { s.record("unavailable") }
 
 func (s *scriptedStore) record(event string) {
 	s.mu.Lock()
@@ -77,7 +79,7 @@
 func follow(t *testing.T, answers ...func(context.Context) ([]int, int64, error)) *scriptedStore {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &scriptedStore{answers: answers, cancel: cancel}
-	f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: 10 * time.Millisecond}
+	f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), MaxWait: 10 * time.Millisecond}
 	start := time.Now()
 	require.NoError(t, f.Run(ctx))
 	require.Less(t, time.Since(start), 3*time.Second)
@@ -93,7 +95,7 @@
 // Missed changes cause a read of the whole table. A failed call is retried, and the
 // sink learns that the store was unavailable.
 func TestRecoversFromFailures(t *testing.T) {
-	s := follow(t, failsWith(errUnavailable), returns(1, 10), failsWith(ErrMissed), returns(9, 11, 12), failsWith(errUnavailable), returns(10, 13))
+	s := follow(t, failsWith(errUnavailable), returns(1, 10), failsWith(ErrChangesMissed), returns(9, 11, 12), failsWith(errUnavailable), returns(10, 13))
 	assert.Equal(t, []string{"read", "read", "changes", "read", "changes", "changes", "changes"}, s.calls)
 	assert.Equal(t, []int{11, 12, 13}, s.rows)
 	assert.Equal(t, []string{"unavailable", "drop", "unavailable", "replace", "replace", "unavailable", "drop", "unavailable", "change"}, s.events, "the store counts as unavailable until it answers again")
@@ -113,7 +115,7 @@
 	defer cancel()
 	var recovery RecoverySignal
 	s := &scriptedStore{answers: []func(context.Context) ([]int, int64, error){returns(1, 10), failsWith(errUnavailable), failsWith(errUnavailable), returns(2, 20)}, cancel: cancel}
-	f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: 10 * time.Millisecond, Recovery: &recovery, AwaitsRecovery: true}
+	f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), MaxWait: 10 * time.Millisecond, Recovery: &recovery, AwaitsRecovery: true}
 	done := make(chan error, 1)
 	go func() { done <- f.Run(ctx) }()
 	calls := func() int {
@@ -132,11 +134,11 @@
 // panickingSink panics on row 13.
 type panickingSink struct{ *scriptedStore }
 
-func (p panickingSink) Change(rows []int, at clock.Time) {
+func (p panickingSink) ApplyChanges(rows []int, at clock.Time) {
 	if len(rows) > 0 && rows[0] == 13 {
 		panic("row 13")
 	}
-	p.scriptedStore.Change(rows, at)
+	p.scriptedStore.ApplyChanges(rows, at)
 }
 
 // A sink that panics on a row doesn't end the follower: the earlier rows stay, and
@@ -145,7 +147,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	s := &scriptedStore{answers: []func(context.Context) ([]int, int64, error){returns(1, 10), returns(2, 13), returns(3, 20)}, cancel: cancel}
-	f := &Follower[int]{Name: "t", Source: s, Sink: panickingSink{s}, Log: zerolog.Nop(), Wait: 10 * time.Millisecond}
+	f := &Follower[int]{Name: "t", Source: s, Sink: panickingSink{s}, Log: zerolog.Nop(), MaxWait: 10 * time.Millisecond}
 	require.NoError(t, f.Run(ctx))
 	assert.Equal(t, []int{10, 20}, s.rows)
 }
--- a/discovery/relay_test.go
+++ b/discovery/relay_test.go
@@ -15,20 +15,20 @@
 // scriptedRelay is a Relay with scripted answers; without any left, it reports itself
 // unusable.
 type scriptedRelay struct {
-	answers []func() (Reading[int], error)
+	answers []func() (ReadResult[int], error)
 	calls   []string
 }
 
-func (r *scriptedRelay) Use() bool { return len(r.answers) > 0 }
-func (r *scriptedRelay) Drop()     {}
-func (r *scriptedRelay) Read(context.Context) (Reading[int], error) {
+func (r *scriptedRelay) ShouldAsk() bool       { return len(r.answers) > 0 }
+func (r *scriptedRelay) CloseIdleConnections() {}
+func (r *scriptedRelay) Read(context.Context) (ReadResult[int], error) {
 	return r.next("read")
 }
-func (r *scriptedRelay) Changes(_ context.Context, after int64, _ time.Duration) (Reading[int], error) {
+func (r *scriptedRelay) Changes(_ context.Context, after int64, _ time.Duration) (ReadResult[int], error) {
 	return r.next("changes")
 }
 
-func (r *scriptedRelay) next(call string) (Reading[int], error) {
+func (r *scriptedRelay) next(call string) (ReadResult[int], error) {
 	r.calls = append(r.calls, call)
 	answer := r.answers[0]
 	r.answers = r.answers[1:]
@@ -45,9 +45,9 @@
 	c.completeAt = append(c.completeAt, at)
 	c.scriptedStore.Replace(rows, at)
 }
-func (c *completenessSink) Change(rows []int, at clock.Time) {
+func (c *completenessSink) ApplyChanges(rows []int, at clock.Time) {
 	c.completeAt = append(c.completeAt, at)
-	c.scriptedStore.Change(rows, at)
+	c.scriptedStore.ApplyChanges(rows, at)
 }
 
 // A follower uses the relay and its completeness times, and continues from the last
@@ -58,19 +58,19 @@
 		s := &scriptedStore{answers: []func(context.Context) ([]int, int64, error){returns(9, 40)}, cancel: cancel}
 		sink := &completenessSink{scriptedStore: s}
 		start := clock.Now()
-		answersAged := func(age time.Duration, version int64, rows ...int) func() (Reading[int], error) {
-			return func() (Reading[int], error) {
-				return Reading[int]{Rows: rows, Version: version, Relayed: true, Proved: start.Add(-age)}, nil
+		answersAged := func(age time.Duration, version int64, rows ...int) func() (ReadResult[int], error) {
+			return func() (ReadResult[int], error) {
+				return ReadResult[int]{Rows: rows, Version: version, Relayed: true, AsOf: start.Add(-age)}, nil
 			}
 		}
-		answersUnavailable := func() (Reading[int], error) {
-			return Reading[int]{Rows: []int{30}, Version: 8, Relayed: true, Proved: start, Away: start.Add(-time.Second)}, nil
+		answersUnavailable := func() (ReadResult[int], error) {
+			return ReadResult[int]{Rows: []int{30}, Version: 8, Relayed: true, AsOf: start, UnavailableAt: start.Add(-time.Second)}, nil
 		}
-		relay := &scriptedRelay{answers: []func() (Reading[int], error){
+		relay := &scriptedRelay{answers: []func() (ReadResult[int], error){
 			answersAged(3*time.Second, 5, 10), answersAged(2*time.Second, 6, 20),
-			func() (Reading[int], error) { return Reading[int]{}, ErrMissed }, answersAged(time.Second, 7, 25), answersUnavailable,
-			func() (Reading[int], error) { return Reading[int]{}, errUnavailable }}}
-		f := &Follower[int]{Name: "t", Source: s, Relay: relay, Sink: sink, Log: zerolog.Nop(), Wait: 10 * time.Millisecond, Reread: time.Hour}
+			func() (ReadResult[int], error) { return ReadResult[int]{}, ErrChangesMissed }, answersAged(time.Second, 7, 25), answersUnavailable,
+			func() (ReadResult[int], error) { return ReadResult[int]{}, errUnavailable }}}
+		f := &Follower[int]{Name: "t", Source: s, Relay: relay, Sink: sink, Log: zerolog.Nop(), MaxWait: 10 * time.Millisecond, RereadInterval: time.Hour}
 		assert.NoError(t, f.Run(ctx))
 		assert.Equal(t, []string{"read", "changes", "changes", "read", "changes", "changes"}, relay.calls)
 		assert.Equal(t, []string{"changes", "changes"}, s.calls, "the store is asked for changes after the relay's last version")
@@ -103,7 +103,7 @@
 				return nil, 1, nil
 			})
 		}
-		f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: 10 * time.Millisecond, Gap: maxDelay, Backoff: func() time.Duration { return maxDelay }}
+		f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), MaxWait: 10 * time.Millisecond, MinInterval: maxDelay, MaxBackoff: func() time.Duration { return maxDelay }}
 		assert.NoError(t, f.Run(ctx))
 		assert.LessOrEqual(t, calls, 2*int(outage/maxDelay))
 		assert.LessOrEqual(t, recoveryDelay, maxDelay+maxDelay/2)
--- a/discovery/sinks.go
+++ b/discovery/sinks.go
@@ -20,17 +20,17 @@
 const lapsedEntryGrace = 2200 * time.Millisecond
 
 type (
-	// Entry is a target's entry in the store. Target is set unless the entry is gone
+	// TargetRow is a target's entry in the store. Target is set unless the entry is gone
 	// or unreadable.
-	Entry struct {
+	TargetRow struct {
 		ID         string
 		Target     ragworthitch.Target
 		Gone       bool
 		Unreadable bool
 	}
 
-	// PeerEntry is the entry of a peer in the store, or its removal.
-	PeerEntry struct {
+	// PeerRow is the entry of a peer in the store, or its removal.
+	PeerRow struct {
 		Peer exchange.Peer
 		Gone bool
 	}
@@ -38,7 +38,7 @@
 	// InstanceRow is a row written by an entry instance: its own entry, the crash of a
 	// target that ran a request, or the state of a roll-out. Exactly one field is set.
 	InstanceRow struct {
-		Peer    *PeerEntry
+		Peer    *PeerRow
 		Crash   *poison.Row
 		Rollout *RolloutRow
 	}
@@ -66,15 +66,15 @@
 	// roll-outs. OnRead is called after each read of the whole table.
 	InstanceSink struct {
 		Exchange *exchange.Exchange
-		Crashes  *poison.Book
-		Rollouts *rollout.Book
+		Crashes  *poison.Tracker
+		Rollouts *rollout.Tracker
 		OnRead   func()
 	}
 
 	// OperatorSink applies desired states to Desired and orders to Rollouts.
 	OperatorSink struct {
-		Desired  *desired.Book
-		Rollouts *rollout.Book
+		Desired  *desired.Tracker
+		Rollouts *rollout.Tracker
 		Log      zerolog.Logger
 	}
 
@@ -82,10 +82,10 @@
 	// NewTargetSink.
 	TargetSink struct {
 		targets *registry.Registry
-		desired *desired.Book
+		desired *desired.Tracker
 		log     zerolog.Logger
 		// Rollouts receives the versions of targets; may be nil.
-		Rollouts      *rollout.Book
+		Rollouts      *rollout.Tracker
 		unavailableAt clock.Time // when the store was last unavailable; 0: never
 		onRead        func()
 		changes       changeLog
@@ -100,16 +100,16 @@
 			present[r.Order.Order.Service] = true
 		}
 	}
-	for _, service := range s.Rollouts.Ordered() {
+	for _, service := range s.Rollouts.OrderedServices() {
 		if !present[service] {
 			s.Rollouts.Withdraw(service)
 		}
 	}
-	s.Change(rows, at)
+	s.ApplyChanges(rows, at)
 }
 
-// Change applies changed states and orders.
-func (s OperatorSink) Change(rows []OperatorRow, at clock.Time) {
+// ApplyChanges applies changed states and orders.
+func (s OperatorSink) ApplyChanges(rows []OperatorRow, at clock.Time) {
 	for _, r := range rows {
 		switch {
 		case r.State != nil:
@@ -120,7 +120,7 @@
 			s.Rollouts.Order(r.Order.Order, clock.Now())
 		}
 	}
-	s.Desired.Proved(at)
+	s.Desired.MarkVerified(at)
 }
 
 func (s OperatorSink) applyState(state *ragworthitch.DesiredState, at clock.Time) {
@@ -130,19 +130,19 @@
 	}
 }
 
-// Away does nothing: Desired tracks the age of its state.
-func (s OperatorSink) Away(clock.Time) {}
+// MarkUnavailable does nothing: Desired tracks the age of its state.
+func (s OperatorSink) MarkUnavailable(clock.Time) {}
 
 // Replace applies the whole table.
 func (s InstanceSink) Replace(rows []InstanceRow, at clock.Time) {
-	s.Crashes.Replace(s.applyRows(rows, at), clock.Now())
-	s.Rollouts.Read()
+	s.Crashes.ApplySnapshot(s.applyRows(rows, at), clock.Now())
+	s.Rollouts.MarkStatusesRead()
 	s.OnRead()
 }
 
-// Change applies changed rows.
-func (s InstanceSink) Change(rows []InstanceRow, at clock.Time) {
-	s.Crashes.Change(s.applyRows(rows, at), clock.Now())
+// ApplyChanges applies changed rows.
+func (s InstanceSink) ApplyChanges(rows []InstanceRow, at clock.Time) {
+	s.Crashes.ApplyRows(s.applyRows(rows, at), clock.Now())
 }
 
 // applyRows applies the rows of peers and roll-outs and returns the crashes.
@@ -150,7 +150,7 @@
 	var crashes []poison.Row
 	for _, r := range rows {
 		if r.Peer != nil {
-			s.Exchange.Know(r.Peer.Peer, r.Peer.Gone)
+			s.Exchange.UpdatePeer(r.Peer.Peer, r.Peer.Gone)
 		}
 		if r.Crash != nil {
 			crashes = append(crashes, *r.Crash)
@@ -159,7 +159,7 @@
 			s.applyRollout(*r.Rollout)
 		}
 	}
-	s.Exchange.Confirmed(at)
+	s.Exchange.SetKnownAsOf(at)
 	return crashes
 }
 
@@ -168,47 +168,47 @@
 		s.Rollouts.Status(*r.Status)
 	}
 	if r.Evidence != nil {
-		s.Rollouts.Heard(*r.Evidence)
+		s.Rollouts.RecordPeerEvidence(*r.Evidence)
 	}
 }
 
-// Away does nothing: instances also exchange this data directly.
-func (InstanceSink) Away(clock.Time) {}
+// MarkUnavailable does nothing: instances also exchange this data directly.
+func (InstanceSink) MarkUnavailable(clock.Time) {}
 
 // NewTargetSink returns a sink that applies entries to targets. onRead is called after
 // each read of the whole table.
-func NewTargetSink(targets *registry.Registry, desiredStates *desired.Book, log zerolog.Logger, onRead func()) *TargetSink {
+func NewTargetSink(targets *registry.Registry, desiredStates *desired.Tracker, log zerolog.Logger, onRead func()) *TargetSink {
 	return &TargetSink{targets: targets, desired: desiredStates, log: log, onRead: onRead}
 }
 
-// Away records that the store was unavailable at a time.
-func (s *TargetSink) Away(at clock.Time) { s.unavailableAt = at }
+// MarkUnavailable records that the store was unavailable at a time.
+func (s *TargetSink) MarkUnavailable(at clock.Time) { s.unavailableAt = at }
 
 // Replace applies the whole table and removes targets that it doesn't contain.
-func (s *TargetSink) Replace(rows []Entry, at clock.Time) {
+func (s *TargetSink) Replace(rows []TargetRow, at clock.Time) {
 	present := make(map[string]bool, len(rows))
-	for _, e := range rows {
-		present[e.ID] = true
+	for _, row := range rows {
+		present[row.ID] = true
 	}
 	for _, id := range s.targets.IDs() {
 		if !present[id] {
 			s.remove(id)
 		}
 	}
-	s.Change(rows, at)
+	s.ApplyChanges(rows, at)
 	s.onRead()
 }
 
-// Change applies changed entries.
-func (s *TargetSink) Change(rows []Entry, at clock.Time) {
-	for _, e := range rows {
+// ApplyChanges applies changed entries.
+func (s *TargetSink) ApplyChanges(rows []TargetRow, at clock.Time) {
+	for _, row := range rows {
 		switch {
-		case e.Gone:
-			s.remove(e.ID)
-		case e.Unreadable || s.changesService(e.Target):
-			s.markUnreadable(e.ID)
+		case row.Gone:
+			s.remove(row.ID)
+		case row.Unreadable || s.changesService(row.Target):
+			s.markUnreadable(row.ID)
 		default:
-			s.put(e.Target)
+			s.put(row.Target)
 		}
 	}
 	s.targets.Expire(clock.Now())
@@ -246,7 +246,7 @@
 		changed = m.Target().Draining() != t.Draining()
 	}
 	if s.Rollouts != nil && t.Version() != "" {
-		s.Rollouts.Met(t.Service(), t.Version(), clock.Now())
+		s.Rollouts.RecordVersion(t.Service(), t.Version(), clock.Now())
 	}
 	outcome := s.targets.Put(t, maxConns)
 	if changed || outcome != registry.Known {
@@ -266,5 +266,5 @@
 		t := m.Target()
 		s.changes.add(targetChange{outcome: outcomeGone, zone: t.Zone(), service: t.Service(), draining: t.Draining(), held: removeAt > now}, t)
 	}
-	s.targets.Vanish(id, now, removeAt)
+	s.targets.Unregister(id, now, removeAt)
 }
--- a/discovery/slow_test.go
+++ b/discovery/slow_test.go
@@ -31,27 +31,27 @@
 	calls      int
 }
 
-func (s *slowStore) answer(ctx context.Context, wait time.Duration) (Reading[int], error) {
+func (s *slowStore) answer(ctx context.Context, wait time.Duration) (ReadResult[int], error) {
 	s.calls++
 	if time.Since(s.start) >= s.slowAfter {
 		wait += s.latency
 	}
 	if !clock.Sleep(ctx, wait) {
-		return Reading[int]{}, ctx.Err()
+		return ReadResult[int]{}, ctx.Err()
 	}
-	return Reading[int]{Version: 1}, nil
+	return ReadResult[int]{Version: 1}, nil
 }
 
-func (s *slowStore) Read(ctx context.Context) (Reading[int], error) { return s.answer(ctx, 0) }
-func (s *slowStore) Changes(ctx context.Context, _ int64, wait time.Duration) (Reading[int], error) {
+func (s *slowStore) Read(ctx context.Context) (ReadResult[int], error) { return s.answer(ctx, 0) }
+func (s *slowStore) Changes(ctx context.Context, _ int64, wait time.Duration) (ReadResult[int], error) {
 	return s.answer(ctx, wait)
 }
-func (*slowStore) Drop()           {}
-func (*slowStore) Away(clock.Time) {}
+func (*slowStore) CloseIdleConnections()      {}
+func (*slowStore) MarkUnavailable(clock.Time) {}
 func (s *slowStore) Replace(_ []int, at clock.Time) {
 	s.completeAt = at
 }
-func (s *slowStore) Change(_ []int, at clock.Time) {
+func (s *slowStore) ApplyChanges(_ []int, at clock.Time) {
 	s.maxAge = max(s.maxAge, clock.Now().Sub(s.completeAt))
 	s.completeAt = at
 }
@@ -64,7 +64,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 			defer cancel()
 			s := &slowStore{start: time.Now(), slowAfter: 5 * time.Second, latency: latency * time.Millisecond}
-			f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), Wait: pollWait}
+			f := &Follower[int]{Name: "t", Source: s, Sink: s, Log: zerolog.Nop(), MaxWait: pollWait}
 			assert.NoError(t, f.Run(ctx))
 			t.Logf("latency %v: data at most %v old, %d calls", s.latency, s.maxAge, s.calls)
 			assert.LessOrEqual(t, s.maxAge, 2*pollWait+responseTimeout+max(s.latency, pollWait/2)+2*initialBackoff)
--- a/emulator/cluster.go
+++ b/emulator/cluster.go
@@ -104,8 +104,8 @@
 	return a != b && c.rng.Float64() < max(c.loss[a], c.loss[b])
 }
 
-// Probe returns an error if the engine accepts no connections.
-func (c *Cluster) Probe(ctx context.Context, m *registry.Member) error {
+// CheckConnection returns an error if the engine accepts no connections.
+func (c *Cluster) CheckConnection(ctx context.Context, m *registry.Member) error {
 	return c.nodes[m.Target().Address()].connect(ctx)
 }
 
@@ -123,17 +123,17 @@
 }
 
 // Send sends an attempt to its engine and returns at the first token.
-func (c Sender) Send(ctx context.Context, o *ingress.Order) (*ingress.Reply, error) {
-	n := c.nodes[o.Target.Address()]
+func (c Sender) Send(ctx context.Context, r *ingress.AttemptRequest) (*ingress.Reply, error) {
+	n := c.nodes[r.Target.Address()]
 	if err := n.connect(ctx); err != nil {
 		return nil, err
 	}
-	if n.id() != o.Target.ID() {
-		return &ingress.Reply{Status: http.StatusMisdirectedRequest, Elsewhere: true, Body: http.NoBody, Sized: true}, nil
+	if n.id() != r.Target.ID() {
+		return &ingress.Reply{Status: http.StatusMisdirectedRequest, WrongTarget: true, Body: http.NoBody, Delimited: true}, nil
 	}
-	generation, err := n.Start(c.newRequest(o))
+	generation, err := n.Start(c.newRequest(r))
 	if err != nil {
-		return &ingress.Reply{Status: http.StatusServiceUnavailable, NotRun: true, Body: http.NoBody, Sized: true}, nil
+		return &ingress.Reply{Status: http.StatusServiceUnavailable, NotRun: true, Body: http.NoBody, Delimited: true}, nil
 	}
 	select {
 	case <-ctx.Done():
@@ -143,26 +143,26 @@
 	case <-generation.done:
 		return nil, fmt.Errorf("%w: %v", upstream.ErrSent, generation.Err())
 	}
-	if _, poison := parseBody(o.Call.Body); poison && c.OnCrash != nil {
+	if _, poison := parseBody(r.Call.Body); poison && c.OnCrash != nil {
 		time.AfterFunc(crashDelay, func() { c.OnCrash(n) })
 	}
 	events := func(emit func(ingress.Event) bool) error { return c.forwardEvents(ctx, n, generation, emit) }
-	return &ingress.Reply{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: ingress.EmptyBody(func() { n.Stop(generation) }), Sized: true, Events: events}, nil
+	return &ingress.Reply{Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: ingress.EmptyBody(func() { n.Stop(generation) }), Delimited: true, Events: events}, nil
 }
 
 // newRequest translates an attempt into a request to an engine.
-func (c *Cluster) newRequest(o *ingress.Order) Request {
-	resumeOffset, err := strconv.Atoi(o.After)
+func (c *Cluster) newRequest(attempt *ingress.AttemptRequest) Request {
+	resumeOffset, err := strconv.Atoi(attempt.ResumeOffset)
 	if err != nil {
 		resumeOffset = 0 // from the start
 	}
-	events, poison := parseBody(o.Call.Body)
+	events, poison := parseBody(attempt.Call.Body)
 	if events == 0 {
-		events = o.Call.Output / max(1, c.profile.TokensPerEvent)
+		events = attempt.Call.MaxTokens / max(1, c.profile.TokensPerEvent)
 	}
-	q := Request{CallID: o.Call.ID, Subject: o.Call.Subject, PromptTokens: o.Call.Prompt, Events: events,
-		ResumeOffset: resumeOffset, Rank: int(o.Rank), FromReplica: o.CopyAt != "", Poison: poison}
-	if r := c.nodes[o.BackupAt]; r != nil {
+	q := Request{CallID: attempt.Call.ID, Subject: attempt.Call.Subject, PromptTokens: attempt.Call.Prompt, Events: events,
+		ResumeOffset: resumeOffset, Rank: int(attempt.Rank), FromReplica: attempt.ReplicaAddress != "", Poison: poison}
+	if r := c.nodes[attempt.ReplicateTo]; r != nil {
 		q.ReplicaTarget = r.Engine
 	}
 	return q
--- a/emulator/cluster_test.go
+++ b/emulator/cluster_test.go
@@ -20,7 +20,7 @@
 		defer stop()
 		for _, n := range c.Nodes() {
 			go n.Run(ctx)
-			reply, err := Sender{c, "a"}.Send(ctx, &ingress.Order{Call: &ingress.Call{ID: "x", Prompt: 800, Output: 1000}, Target: c.Target(n)})
+			reply, err := Sender{c, "a"}.Send(ctx, &ingress.AttemptRequest{Call: &ingress.Call{ID: "x", Prompt: 800, MaxTokens: 1000}, Target: c.Target(n)})
 			require.NoError(t, err)
 			require.Equal(t, 1, n.countGenerations())
 			require.NoError(t, reply.Body.Close())
--- a/entry/agents.go
+++ b/entry/agents.go
@@ -151,7 +151,7 @@
 	if t.lease.Kind != settings.KindEngine || len(services) == 0 {
 		services = []string{t.lease.Kind}
 	}
-	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: t.lease.Target, Service: services[0], Others: services[1:],
+	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: t.lease.Target, Service: services[0], OtherServices: services[1:],
 		Address: t.lease.Agent, Zone: t.lease.Zone, Draining: t.lease.Draining || !t.isHealthy})
 }
 
@@ -210,7 +210,7 @@
 	if t != nil {
 		t.agentConn = nil
 	}
-	e.members.Vanish(name, clock.Now(), 0)
+	e.members.Unregister(name, clock.Now(), 0)
 }
 
 // readMessages dispatches an agent's messages until the connection ends.
@@ -241,7 +241,7 @@
 	e.mu.Unlock()
 	if member := e.members.ByID(name); member != nil {
 		others := max(0, m.Running+m.Waiting-member.Work().Own().Running)
-		member.Work().SetOther(agentLoadSource, registry.Load{Running: others})
+		member.Work().SetPeer(agentLoadSource, registry.Load{Running: others})
 	}
 }
 
--- a/entry/call.go
+++ b/entry/call.go
@@ -57,14 +57,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, settings.Ms(e.cfg.Timeouts.ShortMs))
 	defer cancel()
-	if req.Kind().Repeatable() {
-		return e.callRepeatable(ctx, req)
+	if req.Kind().IsIdempotent() {
+		return e.callIdempotent(ctx, req)
 	}
-	return e.callNonRepeatable(ctx, req)
+	return e.callNonIdempotent(ctx, req)
 }
 
-func (e *Entry) callRepeatable(ctx context.Context, req ragworthitch.Request) (Answer, error) {
-	text, err := e.runCall(ctx, req, repeatablePath)
+func (e *Entry) callIdempotent(ctx context.Context, req ragworthitch.Request) (Answer, error) {
+	text, err := e.runCall(ctx, req, idempotentPath)
 	switch {
 	case errors.Is(err, ErrNotRun):
 		return Answer{}, fmt.Errorf("%w: %v", ErrNoTarget, err)
@@ -80,7 +80,7 @@
 	var r callResponse
 	c := &ingress.Call{ID: req.ID(), Method: http.MethodPost, Path: path + req.Op(), Key: req.Org(),
 		Header: http.Header{headerIdempotencyKey: {req.IdempotencyKey()}}, Received: clock.Now()}
-	switch complete := e.callHandler.ServeWhole(ctx, &r, c); {
+	switch complete := e.callHandler.ServeComplete(ctx, &r, c); {
 	case !complete:
 		return "", fmt.Errorf("%w: the call ended before its answer was complete", ErrUnknownOutcome)
 	case r.status == http.StatusOK:
@@ -92,7 +92,7 @@
 	}
 }
 
-func (e *Entry) callNonRepeatable(ctx context.Context, req ragworthitch.Request) (Answer, error) {
+func (e *Entry) callNonIdempotent(ctx context.Context, req ragworthitch.Request) (Answer, error) {
 	key := claimPrefix + req.IdempotencyKey()
 	claim := e.self.Name + "/" + req.ID() + "/" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	row, err := e.claim(ctx, key, claim, req.ID())
@@ -108,7 +108,7 @@
 	case cur.Claim != claim:
 		return Answer{}, fmt.Errorf("%w: key %s is claimed by another call that has not finished", ErrUnknownOutcome, req.IdempotencyKey())
 	}
-	text, err := e.runCall(ctx, req, nonRepeatablePath)
+	text, err := e.runCall(ctx, req, nonIdempotentPath)
 	if err != nil {
 		state := stateUnknown
 		if errors.Is(err, ErrNotRun) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -19,9 +19,9 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/ragworthitch/ragworthitch/budget"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/ingress"
 	"github.com/ragworthitch/ragworthitch/platform"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/settings"
 )
@@ -61,7 +61,7 @@
 		scope          tally.Scope
 		callHandler    *ingress.Handler
 		members        registry.Registry // targets whose agents are connected
-		cacheLocations recall.Recall
+		cacheLocations cachelocation.Table
 
 		mu      sync.Mutex
 		targets map[string]*target
@@ -113,8 +113,8 @@
 	}
 	e := &Entry{cfg: cfg, self: self, log: log, scope: scope,
 		store: platform.NewClient(cfg.Platform.Listen, storeTimeout), targets: map[string]*target{}}
-	e.callHandler = ingress.New(ingress.Config{Zone: self.Zone, Book: desiredState, Targets: &e.members, Recall: &e.cacheLocations,
-		Budget: budget.New(retryLimit, nil), Sender: sender{e}, Await: settings.Ms(cfg.Timeouts.StallMs), Log: log, Scope: scope})
+	e.callHandler = ingress.New(ingress.Config{Zone: self.Zone, DesiredState: desiredState, Targets: &e.members, CacheLocations: &e.cacheLocations,
+		RetryBudget: budget.New(retryLimit, nil), Sender: sender{e}, TargetWait: settings.Ms(cfg.Timeouts.StallMs), Log: log, Scope: scope})
 	return e, nil
 }
 
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -14,8 +14,8 @@
 // Prefixes of the paths by which calls are routed within the instance.
 const (
 	generatePath      = "/generate/" // followed by the model
-	repeatablePath    = "/call/safe/"
-	nonRepeatablePath = "/call/once/"
+	idempotentPath    = "/call/safe/"
+	nonIdempotentPath = "/call/once/"
 )
 
 const (
@@ -31,25 +31,25 @@
 
 // retryLimit is the retry budget: failover of all streams of 16 engines with 32
 // sequences each, besides retries of half of the calls.
-var retryLimit = budget.Limit{Ratio: 0.5, Extra: 16 * 32, Span: 10 * time.Second}
+var retryLimit = budget.Limit{Ratio: 0.5, Extra: 16 * 32, Window: 10 * time.Second}
 
 // newDesiredState converts the settings into a desired state that never becomes
 // stale.
-func newDesiredState(cfg *settings.File) (*desired.Book, error) {
+func newDesiredState(cfg *settings.File) (*desired.Tracker, error) {
 	p := ragworthitch.DesiredParams{Version: 1}
 	stall, short := settings.Ms(cfg.Timeouts.StallMs), settings.Ms(cfg.Timeouts.ShortMs)
 	for _, m := range cfg.Models {
 		p.Services = append(p.Services, ragworthitch.NewService(ragworthitch.ServiceParams{Name: m.Name}))
 		p.Routes = append(p.Routes, ragworthitch.NewRoute(ragworthitch.RouteParams{Name: m.Name, Prefix: generatePath + m.Name + "/",
-			Kind: ragworthitch.CallStream, Timeout: streamTimeout, GapTarget: stall, Stall: stall,
-			Shares: fullShare(m.Name), MaxTargets: maxAttempts, Resumable: true}))
+			Kind: ragworthitch.CallStream, Timeout: streamTimeout, IntervalObjective: stall, StallTimeout: stall,
+			Shares: fullShare(m.Name), MaxAttempts: maxAttempts, Resumable: true}))
 	}
 	p.Services = append(p.Services, ragworthitch.NewService(ragworthitch.ServiceParams{Name: settings.KindService}))
 	p.Routes = append(p.Routes,
-		ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "safe calls", Prefix: repeatablePath, Kind: ragworthitch.CallSafe,
-			Timeout: short, Target: time.Duration(objectiveShare * float64(short)), Shares: fullShare(settings.KindService), MaxTargets: maxCallAttempts}),
-		ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "calls that run once", Prefix: nonRepeatablePath, Kind: ragworthitch.CallUnsafe,
-			Timeout: short, Shares: fullShare(settings.KindService), MaxTargets: 1}))
+		ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "safe calls", Prefix: idempotentPath, Kind: ragworthitch.CallSafe,
+			Timeout: short, Objective: time.Duration(objectiveShare * float64(short)), Shares: fullShare(settings.KindService), MaxAttempts: maxCallAttempts}),
+		ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "calls that run once", Prefix: nonIdempotentPath, Kind: ragworthitch.CallUnsafe,
+			Timeout: short, Shares: fullShare(settings.KindService), MaxAttempts: 1}))
 	for _, o := range cfg.Orgs {
 		// An organisation's name serves as its key, because Call and Generate
 		// check the organisation.
@@ -59,10 +59,10 @@
 	if err != nil {
 		return nil, err
 	}
-	book := desired.NewBook(desired.Ages{Deny: math.MaxInt64, Key: math.MaxInt64})
-	book.Apply(state)
-	book.Proved(clock.Now())
-	return book, nil
+	t := desired.NewTracker(desired.Ages{Reject: math.MaxInt64, Key: math.MaxInt64})
+	t.Apply(state)
+	t.MarkVerified(clock.Now())
+	return t, nil
 }
 
 func fullShare(name string) []ragworthitch.Share {
--- a/entry/sender.go
+++ b/entry/sender.go
@@ -27,30 +27,30 @@
 type sender struct{ e *Entry }
 
 // Send sends an attempt to the agent of its target.
-func (s sender) Send(ctx context.Context, o *ingress.Order) (*ingress.Reply, error) {
-	ac, epoch, err := s.e.agentConnOf(o.Target.ID())
+func (s sender) Send(ctx context.Context, r *ingress.AttemptRequest) (*ingress.Reply, error) {
+	ac, epoch, err := s.e.agentConnOf(r.Target.ID())
 	if err != nil {
 		return nil, err
 	}
-	if strings.HasPrefix(o.Call.Path, generatePath) {
-		return s.sendStreamAttempt(ctx, o, ac, epoch)
+	if strings.HasPrefix(r.Call.Path, generatePath) {
+		return s.sendStreamAttempt(ctx, r, ac, epoch)
 	}
-	return s.sendCallAttempt(ctx, o, ac, epoch)
+	return s.sendCallAttempt(ctx, r, ac, epoch)
 }
 
-// Probe reports whether a target's agent is connected.
-func (s sender) Probe(_ context.Context, m *registry.Member) error {
+// CheckConnection reports whether a target's agent is connected.
+func (s sender) CheckConnection(_ context.Context, m *registry.Member) error {
 	_, _, err := s.e.agentConnOf(m.Target().ID())
 	return err
 }
 
 // sendCallAttempt sends a plain call and waits for its result.
-func (s sender) sendCallAttempt(ctx context.Context, o *ingress.Order, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
-	k := attemptKey{o.Call.ID, int(s.e.callSeq.Add(1))}
+func (s sender) sendCallAttempt(ctx context.Context, attempt *ingress.AttemptRequest, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
+	k := attemptKey{attempt.Call.ID, int(s.e.callSeq.Add(1))}
 	q := ac.open(k)
 	defer ac.close(k)
 	m := wire.Message{Type: wire.TypeCall, RequestID: k.id, Attempt: k.attempt, Fencing: epoch,
-		Op: path.Base(o.Call.Path), Org: o.Org, IdempotencyKey: o.Call.Header.Get(headerIdempotencyKey)}
+		Op: path.Base(attempt.Call.Path), Org: attempt.Org, IdempotencyKey: attempt.Call.Header.Get(headerIdempotencyKey)}
 	if err := ac.conn.Send(ctx, m); err != nil {
 		return nil, fmt.Errorf("%w: %v", upstream.ErrSent, err)
 	}
@@ -62,9 +62,9 @@
 	r := q.Take()[0]
 	switch {
 	case r.Type == wire.TypeResult:
-		return &ingress.Reply{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader(r.Answer)), Sized: true}, nil
+		return &ingress.Reply{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader(r.Answer)), Delimited: true}, nil
 	case r.NotRun:
-		return &ingress.Reply{Status: http.StatusServiceUnavailable, NotRun: true, Body: http.NoBody, Sized: true}, nil
+		return &ingress.Reply{Status: http.StatusServiceUnavailable, NotRun: true, Body: http.NoBody, Delimited: true}, nil
 	}
 	return nil, fmt.Errorf("%w: %s", upstream.ErrSent, r.Reason)
 }
@@ -72,17 +72,17 @@
 // sendStreamAttempt sends one attempt of a stream. It writes the request row first, so
 // that an entry instance starts no attempt of a stream that a peer has taken
 // over.
-func (s sender) sendStreamAttempt(ctx context.Context, o *ingress.Order, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
-	st := s.e.stream(o.Call.ID)
+func (s sender) sendStreamAttempt(ctx context.Context, r *ingress.AttemptRequest, ac *agentConn, epoch uint64) (*ingress.Reply, error) {
+	st := s.e.stream(r.Call.ID)
 	if st == nil {
-		return nil, fmt.Errorf("%w: stream %s has ended", upstream.ErrNotSent, o.Call.ID)
+		return nil, fmt.Errorf("%w: stream %s has ended", upstream.ErrNotSent, r.Call.ID)
 	}
-	attempt, prefix := st.beginAttempt(o.Target.ID())
+	attempt, prefix := st.beginAttempt(r.Target.ID())
 	if err := st.writeRow(ctx, stateRunning); errors.Is(err, platform.ErrConflict) {
 		st.stop()
 		return nil, fmt.Errorf("%w: %w", upstream.ErrNotSent, errRowTaken)
 	}
-	k := attemptKey{o.Call.ID, attempt}
+	k := attemptKey{r.Call.ID, attempt}
 	q := ac.open(k)
 	m := wire.Message{Type: wire.TypeStart, RequestID: k.id, Attempt: attempt, Fencing: epoch,
 		Model: st.req.Model(), Prompt: st.prompt, MaxTokens: st.req.MaxTokens(), Priority: st.req.Priority(),
@@ -104,7 +104,7 @@
 			s.cancel(st, ac, k)
 		}
 	})
-	return &ingress.Reply{Status: http.StatusOK, Body: body, Sized: true, Events: events}, nil
+	return &ingress.Reply{Status: http.StatusOK, Body: body, Delimited: true, Events: events}, nil
 }
 
 // cancel tells an agent to cancel an attempt.
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -193,13 +193,13 @@
 	ctx, cancel := context.WithCancel(s.e.streamContext())
 	s.stop, s.firstAttempt = cancel, first
 	c := &ingress.Call{ID: s.req.ID(), Method: http.MethodPost, Path: generatePath + s.req.Model() + "/", Key: s.req.Org(), Body: []byte(s.prompt),
-		Prompt: s.req.PromptTokens(), Output: s.req.MaxTokens(), Subject: s.cacheSubject(), Received: clock.Now()}
+		Prompt: s.req.PromptTokens(), MaxTokens: s.req.MaxTokens(), Subject: s.cacheSubject(), Received: clock.Now()}
 	if n := len(s.tokens); n > 0 {
-		c.After = strconv.Itoa(n)
+		c.ResumeOffset = strconv.Itoa(n)
 	}
 	go func() {
 		defer cancel()
-		complete := s.e.callHandler.ServeWhole(ctx, s, c)
+		complete := s.e.callHandler.ServeComplete(ctx, s, c)
 		s.handleRunEnd(ctx, complete)
 	}()
 }
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -18,9 +18,9 @@
 	"github.com/rs/zerolog"
 
 	"github.com/ragworthitch/ragworthitch"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/poison"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/wire"
 )
@@ -55,8 +55,8 @@
 		node           string // name of this instance
 		zone           string
 		targets        *registry.Registry
-		cacheLocations *recall.Recall
-		crashes        *poison.Book
+		cacheLocations *cachelocation.Table
+		crashes        *poison.Tracker
 		log            zerolog.Logger
 		dial           func(ctx context.Context, addr string) (conn, error)
 
@@ -89,15 +89,15 @@
 )
 
 // New returns the exchange of the named instance.
-func New(node, zone string, targets *registry.Registry, cacheLocations *recall.Recall, crashes *poison.Book, log zerolog.Logger) *Exchange {
+func New(node, zone string, targets *registry.Registry, cacheLocations *cachelocation.Table, crashes *poison.Tracker, log zerolog.Logger) *Exchange {
 	return &Exchange{node: node, zone: zone, targets: targets, cacheLocations: cacheLocations, crashes: crashes, log: log, dial: dialView,
 		incoming: map[string]*wire.Conn{}, known: map[string]Peer{}, links: map[string]*link{}, updated: make(chan struct{})}
 }
 
 func dialView(ctx context.Context, addr string) (conn, error) { return wire.DialView(ctx, addr) }
 
-// Tell causes the view of this instance to be sent to all linked peers at once.
-func (e *Exchange) Tell() {
+// SendNow causes the view of this instance to be sent to all linked peers at once.
+func (e *Exchange) SendNow() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	close(e.updated)
@@ -119,9 +119,9 @@
 	e.mu.Unlock()
 	edits := uint64(0)
 	for clock.Sleep(ctx, pollInterval) {
-		if n := e.targets.Edits(); n != edits {
+		if n := e.targets.WorkChanges(); n != edits {
 			edits = n
-			e.Tell()
+			e.SendNow()
 		}
 	}
 	return nil
@@ -164,7 +164,7 @@
 		updated := e.nextUpdate()
 		v := e.changesSince(sent)
 		v.CacheLocations, locationCount = e.cacheLocationsSince(locationCount)
-		v.Crashes, crashCount = e.crashes.Since(crashCount)
+		v.Crashes, crashCount = e.crashes.CrashesSince(crashCount)
 		if now := clock.Now(); len(v.Loads) > 0 || len(v.CacheLocations) > 0 || len(v.Crashes) > 0 || now.Sub(lastSent) >= maxViewInterval {
 			lastSent = now
 			sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
@@ -187,7 +187,7 @@
 	current := map[ragworthitch.Boot]report{}
 	now := clock.Now()
 	for _, m := range e.targets.Busy() {
-		current[m.Target().Boot()] = report{load: m.Work().Own(), eventInterval: m.Pace().Own(now)}
+		current[m.Target().Boot()] = report{load: m.Work().Own(), eventInterval: m.Pace().MeasuredInterval(now)}
 	}
 	for b := range sent {
 		if _, ok := current[b]; !ok {
@@ -199,7 +199,7 @@
 			continue
 		}
 		l := r.load
-		v.Loads = append(v.Loads, wire.TargetLoad{Target: b, Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens, EventInterval: r.eventInterval})
+		v.Loads = append(v.Loads, wire.TargetLoad{Target: b, Prefill: l.Prefill, YieldingPrefill: l.YieldingPrefill, Running: l.Running, Tokens: l.Tokens, EventInterval: r.eventInterval})
 		sent[b] = r
 		if l == (registry.Load{}) {
 			delete(sent, b)
@@ -221,11 +221,11 @@
 
 // cacheLocationsSince returns the cache locations that this instance has recorded
 // after the first n, and the number of all so far.
-func (e *Exchange) cacheLocationsSince(n uint64) ([]wire.Place, uint64) {
-	fresh, total := e.cacheLocations.Since(n)
-	out := make([]wire.Place, 0, len(fresh))
-	for _, p := range fresh {
-		out = append(out, wire.Place{Subject: p.Subject, Engine: p.Engine})
+func (e *Exchange) cacheLocationsSince(n uint64) ([]wire.CacheLocation, uint64) {
+	fresh, total := e.cacheLocations.RecordedSince(n)
+	out := make([]wire.CacheLocation, 0, len(fresh))
+	for _, l := range fresh {
+		out = append(out, wire.CacheLocation{Subject: l.Subject, Engine: l.Engine})
 	}
 	return out, total
 }
@@ -271,32 +271,32 @@
 		return
 	}
 	delete(e.incoming, node)
-	e.targets.Forget(node)
+	e.targets.ForgetPeer(node)
 	e.log.Info().Str("peer", node).Msg("exchange: peer disconnected; its load is dropped")
 }
 
 func (e *Exchange) apply(v wire.View) {
 	now := clock.Now()
 	for _, p := range v.CacheLocations {
-		e.cacheLocations.Heard(recall.Place{Subject: p.Subject, Engine: p.Engine}, now)
+		e.cacheLocations.RecordReport(cachelocation.Location{Subject: p.Subject, Engine: p.Engine}, now)
 	}
 	e.applyCrashes(v.Crashes, now)
 	for _, l := range v.Loads {
 		if m := e.targets.Boot(l.Target); m != nil {
-			m.Work().SetOther(v.Node, registry.Load{Prefill: l.Prefill, Later: l.Later, Running: l.Running, Tokens: l.Tokens})
-			m.Pace().Heard(v.Node, l.EventInterval, now)
+			m.Work().SetPeer(v.Node, registry.Load{Prefill: l.Prefill, YieldingPrefill: l.YieldingPrefill, Running: l.Running, Tokens: l.Tokens})
+			m.Pace().AddReport(v.Node, l.EventInterval, now)
 		}
 	}
 }
 
 // applyCrashes records crashes that a peer reports, and forwards those that are new.
-func (e *Exchange) applyCrashes(crashes []poison.Death, now clock.Time) {
+func (e *Exchange) applyCrashes(crashes []poison.Crash, now clock.Time) {
 	anyNew := false
-	for _, d := range crashes {
-		anyNew = e.crashes.Died(d, poison.SourcePeer, now) || anyNew
+	for _, c := range crashes {
+		anyNew = e.crashes.RecordCrash(c, poison.SourcePeer, now) || anyNew
 	}
 	if anyNew {
-		e.Tell()
+		e.SendNow()
 	}
 }
 
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/ragworthitch/ragworthitch"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/exchange"
 	"github.com/ragworthitch/ragworthitch/poison"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/wire"
 )
@@ -24,8 +24,8 @@
 
 type instance struct {
 	targets        registry.Registry
-	cacheLocations recall.Recall
-	crashes        poison.Book
+	cacheLocations cachelocation.Table
+	crashes        poison.Tracker
 	ex             *exchange.Exchange
 	addr           string
 	stop           context.CancelFunc
@@ -50,15 +50,15 @@
 // peer is lost.
 func TestViews(t *testing.T) {
 	a, b := start(t, "a"), start(t, "b")
-	a.ex.Know(exchange.Peer{Node: "b", Addr: b.addr}, false)
-	a.ex.Know(exchange.Peer{Node: "a", Addr: a.addr}, false) // itself: ignored
+	a.ex.UpdatePeer(exchange.Peer{Node: "b", Addr: b.addr}, false)
+	a.ex.UpdatePeer(exchange.Peer{Node: "a", Addr: a.addr}, false) // itself: ignored
 	work := a.targets.ByID("i-1").Work()
 	seen := b.targets.ByID("i-1").Work()
 
 	started, end := work.Begin(8000, 9000)
-	a.cacheLocations.Note(recall.Place{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 0)}, clock.Now())
-	a.ex.Tell()
-	assert.Eventually(t, func() bool { engine, _ := b.cacheLocations.Where("5c1e", clock.Now()); return engine.ID() == "i-1" }, within, time.Millisecond)
+	a.cacheLocations.RecordOwn(cachelocation.Location{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 0)}, clock.Now())
+	a.ex.SendNow()
+	assert.Eventually(t, func() bool { engine, _ := b.cacheLocations.Find("5c1e", clock.Now()); return engine.ID() == "i-1" }, within, time.Millisecond)
 	assert.Eventually(t, func() bool { return seen.All() == registry.Load{Prefill: 8000, Running: 1, Tokens: 9000} }, within, time.Millisecond)
 	assert.Equal(t, registry.Load{}, seen.Own())
 	started()
@@ -66,7 +66,7 @@
 
 	// The instance ends while a second call is in progress.
 	work.Begin(500, 600)
-	a.ex.Tell()
+	a.ex.SendNow()
 	require.Eventually(t, func() bool { return seen.All().Running == 2 }, within, time.Millisecond)
 	end()
 	a.stop()
@@ -98,9 +98,9 @@
 func TestPeerMoves(t *testing.T) {
 	a, b, c := start(t, "a"), start(t, "b"), start(t, "b")
 	a.targets.ByID("i-1").Work().Begin(10, 20)
-	a.ex.Know(exchange.Peer{Node: "b", Addr: b.addr}, false)
+	a.ex.UpdatePeer(exchange.Peer{Node: "b", Addr: b.addr}, false)
 	require.Eventually(t, func() bool { return b.targets.ByID("i-1").Work().All().Running == 1 }, within, time.Millisecond)
-	a.ex.Know(exchange.Peer{Node: "b", Addr: c.addr}, false)
+	a.ex.UpdatePeer(exchange.Peer{Node: "b", Addr: c.addr}, false)
 	assert.Eventually(t, func() bool { return c.targets.ByID("i-1").Work().All().Running == 1 }, within, time.Millisecond)
 	assert.Eventually(t, func() bool { return b.targets.ByID("i-1").Work().All().Running == 0 }, within, time.Millisecond)
 }
--- a/exchange/internal_test.go
+++ b/exchange/internal_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/ragworthitch/ragworthitch"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/poison"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/wire"
 )
@@ -20,7 +20,7 @@
 // The number of linked peers is bounded, the own zone comes first, and new instances
 // change few links.
 func TestSelectPeers(t *testing.T) {
-	e := New("n-0", "ate", &registry.Registry{}, &recall.Recall{}, &poison.Book{}, zerolog.Nop())
+	e := New("n-0", "ate", &registry.Registry{}, &cachelocation.Table{}, &poison.Tracker{}, zerolog.Nop())
 	add := func(from, to int) {
 		for i := from; i < to; i++ {
 			zone := []string{"ate", "callao", "lurin"}[i%3]
@@ -58,7 +58,7 @@
 			for i := range n {
 				targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprintf("i-%010d", i), Started: 1767312000123, Service: "llm", Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)}), 0)
 			}
-			e := New("front-ate-1", "ate", &targets, &recall.Recall{}, &poison.Book{}, zerolog.Nop())
+			e := New("front-ate-1", "ate", &targets, &cachelocation.Table{}, &poison.Tracker{}, zerolog.Nop())
 			sent := map[ragworthitch.Boot]report{}
 			e.changesSince(sent)
 			m := targets.All()[0]
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -26,8 +26,8 @@
 	Addr string // host:port where it accepts connections of peers
 }
 
-// Know adds a peer or updates its address. With gone it removes the peer.
-func (e *Exchange) Know(p Peer, gone bool) {
+// UpdatePeer adds a peer or updates its address. With gone it removes the peer.
+func (e *Exchange) UpdatePeer(p Peer, gone bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if p.Node == e.node {
@@ -41,24 +41,24 @@
 	e.updateLinks()
 }
 
-// Known returns the known peers.
-func (e *Exchange) Known() []Peer {
+// Peers returns the known peers.
+func (e *Exchange) Peers() []Peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Collect(maps.Values(e.known))
 }
 
-// Confirmed records that the table of instances is complete up to the given time.
-func (e *Exchange) Confirmed(at clock.Time) {
+// SetKnownAsOf records that the table of instances is complete up to the given time.
+func (e *Exchange) SetKnownAsOf(at clock.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.knownAsOf = max(e.knownAsOf, at)
 }
 
-// Entries returns the number of entry instances, with this one, and the time up to
+// InstanceCount returns the number of entry instances, with this one, and the time up to
 // which the table of instances is known to be complete. ok is false if the table was
-// not read yet. Entries is a budget.Entries.
-func (e *Exchange) Entries() (n int, at clock.Time, ok bool) {
+// not read yet. Entries is a budget.InstanceCount.
+func (e *Exchange) InstanceCount() (n int, at clock.Time, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.known) + 1, e.knownAsOf, e.knownAsOf != 0
--- a/exchange/spread_test.go
+++ b/exchange/spread_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/ragworthitch/ragworthitch"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/poison"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/rwtest/cases"
 	"github.com/ragworthitch/ragworthitch/wire"
@@ -62,7 +62,7 @@
 	// instance is a simulated entry instance.
 	instance struct {
 		peer    Peer
-		crashes poison.Book
+		crashes poison.Tracker
 		ex      *Exchange
 		stop    context.CancelFunc
 		mu      sync.Mutex
@@ -138,8 +138,8 @@
 	print := poison.Of("o", "POST", "h", "/p", nil)
 	start, seen := time.Now(), len(undisturbed)
 	for i := range 3 {
-		all[i].crashes.Died(poison.Death{Print: print, Boot: ragworthitch.NewBoot(fmt.Sprint("i-", i), 0), Org: "o", Service: "llm"}, poison.SourceOwn, clock.Now())
-		all[i].ex.Tell()
+		all[i].crashes.RecordCrash(poison.Crash{Fingerprint: print, Boot: ragworthitch.NewBoot(fmt.Sprint("i-", i), 0), Org: "o", Service: "llm"}, poison.SourceOwn, clock.Now())
+		all[i].ex.SendNow()
 	}
 	time.AfterFunc(time.Second, func() {
 		for i := range c.Started {
@@ -156,7 +156,7 @@
 		r.recordCall(undisturbed[rng.IntN(len(undisturbed))], print, rng.Float64() < callRate*time.Millisecond.Seconds(), time.Since(start))
 		unaware = append(unaware, undisturbed[seen:]...)
 		seen = len(undisturbed)
-		unaware = slices.DeleteFunc(unaware, func(n *instance) bool { return n.crashes.Judge(print, clock.Now()).Condemned })
+		unaware = slices.DeleteFunc(unaware, func(n *instance) bool { return n.crashes.Status(print, clock.Now()).Quarantined })
 		unawareCount := len(unaware)
 		f.mu.Unlock()
 		if unawareCount == 0 && r.spreadTime == observedTime && (c.Started == 0 || time.Since(start) > time.Second) {
@@ -173,7 +173,7 @@
 		return
 	}
 	r.calls++
-	if n.crashes.Judge(print, clock.Now()).Condemned {
+	if n.crashes.Status(print, clock.Now()).Quarantined {
 		return
 	}
 	r.sent++
@@ -185,13 +185,13 @@
 // add creates an instance that knows all others and is known to them.
 func (f *fleet) add(i, zones int) *instance {
 	n := &instance{peer: Peer{Node: fmt.Sprint("n-", i), Zone: fmt.Sprint("z", i%zones), Addr: fmt.Sprint("10.0.0.", i)}}
-	n.ex = New(n.peer.Node, n.peer.Zone, &registry.Registry{}, &recall.Recall{}, &n.crashes, zerolog.Nop())
+	n.ex = New(n.peer.Node, n.peer.Zone, &registry.Registry{}, &cachelocation.Table{}, &n.crashes, zerolog.Nop())
 	n.ex.dial = func(ctx context.Context, addr string) (conn, error) { return f.dial(ctx, n, addr) }
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, o := range f.instances {
-		n.ex.Know(o.peer, false)
-		o.ex.Know(n.peer, false)
+		n.ex.UpdatePeer(o.peer, false)
+		o.ex.UpdatePeer(n.peer, false)
 	}
 	f.instances[n.peer.Addr] = n
 	return n
--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -107,15 +107,15 @@
 	entry := c.sim.randomEntry()
 	w := &responseWriter{c: c}
 	call := &ingress.Call{ID: fmt.Sprintf("%s-%d", c.id, index), Method: http.MethodPost, Host: host, Path: path, Header: http.Header{},
-		Patience: callTimeout, Prompt: c.promptTokens, Output: c.events * c.sim.workload.profile().TokensPerEvent * 4 / 3,
+		Timeout: callTimeout, Prompt: c.promptTokens, MaxTokens: c.events * c.sim.workload.profile().TokensPerEvent * 4 / 3,
 		Body: emulator.Body(c.events, c.id), Subject: c.id, Received: clock.Now()}
 	c.mu.Lock()
 	c.cancelRequest = cancel
 	if c.received > 0 {
-		call.After = strconv.Itoa(c.received)
+		call.ResumeOffset = strconv.Itoa(c.received)
 	}
 	c.mu.Unlock()
-	complete := entry.handler.ServeWhole(ctx, w, call)
+	complete := entry.handler.ServeComplete(ctx, w, call)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cancelRequest = nil
--- a/experiment/instance.go
+++ b/experiment/instance.go
@@ -9,12 +9,12 @@
 
 	"github.com/ragworthitch/ragworthitch"
 	"github.com/ragworthitch/ragworthitch/budget"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/desired"
 	"github.com/ragworthitch/ragworthitch/emulator"
 	"github.com/ragworthitch/ragworthitch/ingress"
 	"github.com/ragworthitch/ragworthitch/poison"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 )
 
@@ -36,16 +36,16 @@
 )
 
 // retryLimit is the retry budget that all entry instances share.
-var retryLimit = budget.Limit{Ratio: 0.8, Extra: 150, Span: 10 * time.Second}
+var retryLimit = budget.Limit{Ratio: 0.8, Extra: 150, Window: 10 * time.Second}
 
 // instance is an entry instance.
 type instance struct {
 	name          string
 	sim           *simulation
 	targets       registry.Registry
-	locations     recall.Recall
+	locations     cachelocation.Table
 	locationsSent uint64 // observed cache locations in reports so far
-	crashes       poison.Book
+	crashes       poison.Tracker
 	crashesSent   uint64 // recorded crashes in reports so far
 	handler       *ingress.Handler
 	ctx           context.Context // ends when the instance is killed
@@ -55,18 +55,18 @@
 func newInstance(s *simulation, name, zone string) *instance {
 	in := &instance{name: name, sim: s}
 	in.ctx, in.cancel = context.WithCancel(context.Background())
-	states := desired.NewBook(desired.Ages{Deny: time.Hour, Key: time.Hour})
+	states := desired.NewTracker(desired.Ages{Reject: time.Hour, Key: time.Hour})
 	states.Apply(s.state)
-	states.Proved(clock.Now())
+	states.MarkVerified(clock.Now())
 	for _, node := range s.cluster.Nodes() {
 		in.targets.Put(s.cluster.Target(node), 0)
 	}
-	in.crashes.Dry = s.variant.NoQuarantine
-	cfg := ingress.Config{Zone: zone, Book: states, Targets: &in.targets, Recall: &in.locations, Budget: budget.New(retryLimit, s.countEntries),
-		Sender: recordingSender{emulator.Sender{Cluster: s.cluster, Zone: zone}, s}, Engines: s.variant.Engines, Speeds: s.variant.FixedPace,
-		Crashes: &in.crashes, Claim: in.claim, Log: zerolog.Nop()}
+	in.crashes.DryRun = s.variant.NoQuarantine
+	cfg := ingress.Config{Zone: zone, DesiredState: states, Targets: &in.targets, CacheLocations: &in.locations, RetryBudget: budget.New(retryLimit, s.countEntries),
+		Sender: recordingSender{emulator.Sender{Cluster: s.cluster, Zone: zone}, s}, Engines: s.variant.Engines, FixedPace: s.variant.FixedPace,
+		PoisonTracker: &in.crashes, ClaimProbe: in.claim, Log: zerolog.Nop()}
 	if !s.variant.NoReports {
-		cfg.Tell = in.scheduleReport
+		cfg.NotifyPeers = in.scheduleReport
 	}
 	in.handler = ingress.New(cfg)
 	return in
@@ -76,9 +76,9 @@
 func desiredState(replicas bool, profile emulator.Profile) (*ragworthitch.DesiredState, error) {
 	return ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: 1,
 		Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: serviceName,
-			Engine: &ragworthitch.Engine{Slots: profile.Slots, KVTokens: profile.MemoryTokens, Backups: replicas, Stride: profile.TokensPerEvent, CopyExpiry: emulator.ReplicaExpiry}})},
+			Engine: &ragworthitch.Engine{Slots: profile.Slots, KVTokens: profile.MemoryTokens, CanReplicate: replicas, TokensPerEvent: profile.TokensPerEvent, ReplicaExpiry: emulator.ReplicaExpiry}})},
 		Routes: []ragworthitch.Route{ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "plans", Host: host, Prefix: path,
-			Kind: ragworthitch.CallStream, Timeout: callTimeout, Target: firstEventObjective, GapTarget: eventIntervalObjective, MaxTargets: maxTargets, Resumable: true,
+			Kind: ragworthitch.CallStream, Timeout: callTimeout, Objective: firstEventObjective, IntervalObjective: eventIntervalObjective, MaxAttempts: maxTargets, Resumable: true,
 			Shares: []ragworthitch.Share{{Service: serviceName, Weight: 1}}})}})
 }
 
@@ -91,9 +91,9 @@
 func (in *instance) report() {
 	s := in.sim
 	s.mu.Lock()
-	locations, n := in.locations.Since(in.locationsSent)
+	locations, n := in.locations.RecordedSince(in.locationsSent)
 	in.locationsSent = n
-	crashes, n := in.crashes.Since(in.crashesSent)
+	crashes, n := in.crashes.CrashesSince(in.crashesSent)
 	in.crashesSent = n
 	s.mu.Unlock()
 	s.store.save(&in.crashes)
@@ -102,16 +102,16 @@
 			continue
 		}
 		for _, crash := range crashes {
-			peer.crashes.Died(crash, poison.SourcePeer, clock.Now())
+			peer.crashes.RecordCrash(crash, poison.SourcePeer, clock.Now())
 		}
 		for _, m := range in.targets.All() {
 			if member := peer.targets.Boot(m.Target().Boot()); member != nil {
-				member.Work().SetOther(in.name, m.Work().Own())
-				member.Pace().Heard(in.name, m.Pace().Own(clock.Now()), clock.Now())
+				member.Work().SetPeer(in.name, m.Work().Own())
+				member.Pace().AddReport(in.name, m.Pace().MeasuredInterval(clock.Now()), clock.Now())
 			}
 		}
 		for _, location := range locations {
-			peer.locations.Heard(location, clock.Now())
+			peer.locations.RecordReport(location, clock.Now())
 		}
 	}
 }
--- a/experiment/poison.go
+++ b/experiment/poison.go
@@ -52,13 +52,13 @@
 )
 
 // Send sends an attempt to its engine.
-func (s recordingSender) Send(ctx context.Context, o *ingress.Order) (*ingress.Reply, error) {
-	if o.Call.Subject == poisonSubject {
+func (s recordingSender) Send(ctx context.Context, r *ingress.AttemptRequest) (*ingress.Reply, error) {
+	if r.Call.Subject == poisonSubject {
 		s.sim.poisonStats.mu.Lock()
 		s.sim.poisonStats.attempts = append(s.sim.poisonStats.attempts, time.Now())
 		s.sim.poisonStats.mu.Unlock()
 	}
-	return s.Sender.Send(ctx, o)
+	return s.Sender.Send(ctx, r)
 }
 
 // sendPoisonRequests sends the fault's poison requests, evenly spread over its
@@ -78,13 +78,13 @@
 func (sim *simulation) callWithPoison(ctx context.Context, n int) {
 	for index := range maxSends {
 		call := &ingress.Call{ID: fmt.Sprintf("%s-%d-%d", poisonSubject, n, index), Method: http.MethodPost, Host: host, Path: path, Header: http.Header{},
-			Patience: callTimeout, Prompt: poisonPromptTokens, Output: poisonEvents * sim.workload.profile().TokensPerEvent, Subject: poisonSubject,
+			Timeout: callTimeout, Prompt: poisonPromptTokens, MaxTokens: poisonEvents * sim.workload.profile().TokensPerEvent, Subject: poisonSubject,
 			Body: emulator.PoisonBody(poisonEvents, poisonSubject), Received: clock.Now()}
 		w := &responseWriter{c: &caller{}}
 		entry := sim.randomEntry()
 		callCtx, cancel := context.WithCancel(ctx)
 		stop := context.AfterFunc(entry.ctx, cancel)
-		entry.handler.ServeWhole(callCtx, w, call)
+		entry.handler.ServeComplete(callCtx, w, call)
 		stop()
 		cancel()
 		if w.status == http.StatusInternalServerError || ctx.Err() != nil {
@@ -131,7 +131,7 @@
 	rows := sim.store.list()
 	for i, old := range sim.allEntries() {
 		entry := newInstance(sim, old.name, sim.workload.Zones[i%len(sim.workload.Zones)])
-		entry.crashes.Replace(rows, clock.Now())
+		entry.crashes.ApplySnapshot(rows, clock.Now())
 		old.cancel()
 		sim.mu.Lock()
 		sim.entries[i] = entry
@@ -144,17 +144,17 @@
 
 // claim claims the probe of a quarantined request in the store. It returns false
 // if another entry instance has claimed it or the store is unavailable.
-func (in *instance) claim(_ context.Context, probe poison.Trial) bool {
+func (in *instance) claim(_ context.Context, probe poison.Probe) bool {
 	s := &in.sim.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unavailable || s.claimedProbes[probe.Print] >= probe.Count {
+	if s.unavailable || s.claimedProbes[probe.Fingerprint] >= probe.Count {
 		return false
 	}
 	if s.claimedProbes == nil {
 		s.claimedProbes = map[poison.Fingerprint]int{}
 	}
-	s.claimedProbes[probe.Print] = probe.Count
+	s.claimedProbes[probe.Fingerprint] = probe.Count
 	return in.crashes.Claim(probe, int64(probe.Count), clock.Now())
 }
 
@@ -165,7 +165,7 @@
 }
 
 // save applies an entry instance's pending edits to the stored rows.
-func (s *store) save(crashes *poison.Book) {
+func (s *store) save(crashes *poison.Tracker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unavailable {
@@ -174,14 +174,14 @@
 	if s.rows == nil {
 		s.rows = map[poison.RowKey]poison.Row{}
 	}
-	edits, _ := crashes.Take()
+	edits, _ := crashes.TakeEdits()
 	for _, e := range edits {
 		for _, k := range e.Drop {
 			delete(s.rows, k)
 		}
 		if len(e.Drop) == 0 {
-			k := poison.RowKey{Print: e.Death.Print, Boot: e.Death.Boot}
-			s.rows[k] = poison.Row{RowKey: k, Death: e.Death}
+			k := poison.RowKey{Fingerprint: e.Crash.Fingerprint, Boot: e.Crash.Boot}
+			s.rows[k] = poison.Row{RowKey: k, Crash: e.Crash}
 		}
 	}
 }
--- a/experiment/variant.go
+++ b/experiment/variant.go
@@ -40,10 +40,10 @@
 // Score returns the product's score without the masked inputs.
 func (p maskedPolicy) Score(c route.EngineCandidate, key uint64) float64 {
 	if p.ignoreZoneOutages {
-		c.Trouble = 0
+		c.ZoneOutage = 0
 	}
 	if p.ignorePreferred {
-		c.Home = 0
+		c.Preference = 0
 	}
 	if p.ignoreZones {
 		c.SameZone, c.Loss = true, 0
@@ -57,7 +57,7 @@
 // Score returns the number of running streams, less a bonus for the preferred
 // target.
 func (l leastLoaded) Score(c route.EngineCandidate, key uint64) float64 {
-	return l.LeastLoaded.Score(route.Candidate{Reported: c.Running}, key) - c.Home/2 + c.Jitter/10
+	return l.LeastLoaded.Score(route.Candidate{Reported: c.Running}, key) - c.Preference/2 + c.Jitter/10
 }
 
 // Score returns a random score.
@@ -83,7 +83,7 @@
 func defaultPace() *pace.Pace {
 	profile := emulator.DefaultProfile()
 	interval := time.Duration(profile.TokensPerEvent) * (profile.StepTime + profile.StepTimePerRequest)
-	return &pace.Pace{Gap: interval, Ratio: float64(time.Millisecond) / profile.PrefillTokensPerMs / float64(interval), Prompt: 8000, Whole: interval, Length: 0.75}
+	return &pace.Pace{EventInterval: interval, PrefillRatio: float64(time.Millisecond) / profile.PrefillTokensPerMs / float64(interval), Prompt: 8000, LoadedInterval: interval, UsualAnswer: 0.75}
 }
 
 // VariantByName finds a variant. The error lists the known ones.
--- a/health/health.go
+++ b/health/health.go
@@ -89,31 +89,31 @@
 	return ejection
 }
 
-// FailedLately returns the time of the last failure; ok is false if the failure
+// FailedRecently returns the time of the last failure; ok is false if the failure
 // isn't recent or the target has answered since.
-func (s *State) FailedLately(now clock.Time) (at clock.Time, ok bool) {
+func (s *State) FailedRecently(now clock.Time) (at clock.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failedAt, s.consecutiveFailures > 0 && now.Sub(s.failedAt) < recentFailure
 }
 
-// Heard records that data arrived from the target.
-func (s *State) Heard(now clock.Time) {
+// RecordContact records that data arrived from the target.
+func (s *State) RecordContact(now clock.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.servedAt = now
 }
 
-// HeardLately reports whether the target has served recently and not failed since.
-func (s *State) HeardLately(now clock.Time) bool {
+// ServedRecently reports whether the target has served recently and not failed since.
+func (s *State) ServedRecently(now clock.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.servedAt > s.failedAt && now.Sub(s.servedAt) < recentContact
 }
 
-// BeginProbe starts a connection check of the target. It returns false if a check
+// BeginCheck starts a connection check of the target. It returns false if a check
 // is already in progress; otherwise the caller calls EndProbe after the check.
-func (s *State) BeginProbe() bool {
+func (s *State) BeginCheck() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.checking {
@@ -123,15 +123,15 @@
 	return true
 }
 
-// EndProbe ends a connection check.
-func (s *State) EndProbe() {
+// EndCheck ends a connection check.
+func (s *State) EndCheck() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.checking = false
 }
 
-// Lost returns a channel that is closed when the target fails next.
-func (s *State) Lost() <-chan struct{} {
+// NextFailure returns a channel that is closed when the target fails next.
+func (s *State) NextFailure() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost == nil {
@@ -161,8 +161,8 @@
 	}
 }
 
-// Errors returns the share of recent calls that failed.
-func (s *State) Errors(now clock.Time) float64 {
+// ErrorRate returns the share of recent calls that failed.
+func (s *State) ErrorRate(now clock.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decayErrorRate(now)
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -46,10 +46,10 @@
 				}
 				if w := step.Want; w != nil {
 					assert.Equal(t, w.Usable, s.Usable(now), "step %d", i)
-					_, recent := s.FailedLately(now)
+					_, recent := s.FailedRecently(now)
 					assert.Equal(t, w.Recent, recent, "step %d", i)
-					assert.GreaterOrEqual(t, s.Errors(now), w.Errors[0], "step %d", i)
-					assert.LessOrEqual(t, s.Errors(now), w.Errors[1], "step %d", i)
+					assert.GreaterOrEqual(t, s.ErrorRate(now), w.Errors[0], "step %d", i)
+					assert.LessOrEqual(t, s.ErrorRate(now), w.Errors[1], "step %d", i)
 				}
 			}
 		})
@@ -60,7 +60,7 @@
 func TestLostWakesEveryTime(t *testing.T) {
 	var s State
 	for i := range 3 {
-		lost := s.Lost()
+		lost := s.NextFailure()
 		s.Failed(at(float64(i) / 10))
 		select {
 		case <-lost:
--- a/health/links.go
+++ b/health/links.go
@@ -49,8 +49,8 @@
 	return confidence(before) < 0.5 && confidence(zoneLink.stalls) >= 0.5
 }
 
-// Stalls returns the weight of the recent stalls on the link to a zone.
-func (l *Links) Stalls(zone string, now clock.Time) float64 {
+// StallWeight returns the weight of the recent stalls on the link to a zone.
+func (l *Links) StallWeight(zone string, now clock.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if zoneLink := l.zones[zone]; zoneLink != nil {
@@ -61,7 +61,7 @@
 
 // Loss returns the confidence, from 0 to 1, that the link to a zone loses packets.
 func (l *Links) Loss(zone string, now clock.Time) float64 {
-	return confidence(l.Stalls(zone, now))
+	return confidence(l.StallWeight(zone, now))
 }
 
 // confidence returns the confidence in packet loss for a weight of stalls.
--- a/ingress/await_test.go
+++ b/ingress/await_test.go
@@ -23,14 +23,14 @@
 	attempts     int
 }
 
-func (s *lastTargetSender) Send(_ context.Context, o *Order) (*Reply, error) {
+func (s *lastTargetSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
 	s.attempts++
 	if s.attempts > 1 {
-		return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 3\ndata: c\n\n")}, nil
+		return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("id: 3\ndata: c\n\n")}, nil
 	}
 	now := clock.Now()
 	for _, id := range s.h.targets.IDs() {
-		s.h.targets.Vanish(id, now, now) // attempts there continue
+		s.h.targets.Unregister(id, now, now) // attempts there continue
 	}
 	time.AfterFunc(s.appearsAfter, func() {
 		s.h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "new", Service: "llm", Address: "127.0.0.1:99", Zone: "b"}), 0)
@@ -76,7 +76,7 @@
 // A route's stall timeout decides when a stream fails over, whatever the pauses of the
 // engine's other streams.
 func TestRouteStallTimeout(t *testing.T) {
-	route := ragworthitch.NewRoute(ragworthitch.RouteParams{Kind: ragworthitch.CallStream, Resumable: true, MaxTargets: 3, Stall: 300 * time.Millisecond})
+	route := ragworthitch.NewRoute(ragworthitch.RouteParams{Kind: ragworthitch.CallStream, Resumable: true, MaxAttempts: 3, StallTimeout: 300 * time.Millisecond})
 	for silence, failsOver := range map[time.Duration]bool{200 * time.Millisecond: false, 310 * time.Millisecond: true} {
 		s := &stream{activeCall: &activeCall{h: newTestHandler(t, &faultySender{}, ragworthitch.CallStream), call: &Call{}}}
 		s.grant.Route = &route
@@ -86,5 +86,7 @@
 	}
 }
 
-// Probe fails.
-func (*lastTargetSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// CheckConnection fails.
+func (*lastTargetSender) CheckConnection(context.Context, *registry.Member) error {
+	return upstream.ErrNotSent
+}
--- a/ingress/bench_test.go
+++ b/ingress/bench_test.go
@@ -22,7 +22,7 @@
 			now := clock.Now()
 			for i, m := range h.targets.Service("llm") {
 				m.Pace().Event(29*time.Millisecond, true, now)
-				m.Pace().Heard(fmt.Sprint("peer-", i%5), 30*time.Millisecond, now)
+				m.Pace().AddReport(fmt.Sprint("peer-", i%5), 30*time.Millisecond, now)
 			}
 			g, err := h.desiredState.Judge(now, "h", "/p/x", "", 0)
 			if err != nil {
--- a/ingress/budget_test.go
+++ b/ingress/budget_test.go
@@ -24,10 +24,10 @@
 	attempts    int
 }
 
-func (s *pausingSender) Send(ctx context.Context, o *Order) (*Reply, error) {
+func (s *pausingSender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
 	s.attempts++
 	pause := s.pause
-	if o.After != "" {
+	if r.ResumeOffset != "" {
 		pause = 0
 	}
 	events := func(emit func(Event) bool) error {
@@ -35,17 +35,17 @@
 			if n == 3 && !clock.Sleep(ctx, pause) {
 				return ctx.Err()
 			}
-			if fmt.Sprint(n) > o.After {
+			if fmt.Sprint(n) > r.ResumeOffset {
 				emit(Event{Raw: fmt.Appendf(nil, "id: %d\ndata: x\n\n", n), ID: n})
 			}
 		}
 		return nil
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe fails if the targets are unreachable.
-func (s *pausingSender) Probe(context.Context, *registry.Member) error {
+// CheckConnection fails if the targets are unreachable.
+func (s *pausingSender) CheckConnection(context.Context, *registry.Member) error {
 	if s.unreachable {
 		return upstream.ErrNotSent
 	}
@@ -69,7 +69,7 @@
 		bubble(t, tt.name, func(t *testing.T) {
 			s := &pausingSender{pause: 3 * time.Second, unreachable: tt.unreachable}
 			h := newTestHandler(t, s, ragworthitch.CallStream)
-			h.retryBudget = budget.New(budget.Limit{Extra: tt.retries, Span: 10 * time.Second}, nil)
+			h.retryBudget = budget.New(budget.Limit{Extra: tt.retries, Window: 10 * time.Second}, nil)
 			w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			assert.False(t, cut)
 			assert.Equal(t, http.StatusOK, w.Code)
@@ -85,7 +85,7 @@
 	bubble(t, "", func(t *testing.T) {
 		s := &pausingSender{pause: 3 * time.Second, unreachable: true}
 		h := newTestHandler(t, s, ragworthitch.CallStream)
-		h.retryBudget = budget.New(budget.Limit{Span: 10 * time.Second}, nil)
+		h.retryBudget = budget.New(budget.Limit{Window: 10 * time.Second}, nil)
 		requests := 0
 		h.borrowRetries = func(_ context.Context, service string) {
 			requests++
@@ -103,31 +103,31 @@
 // connection.
 type refusedSender struct{ attempts, refusals int }
 
-func (s *refusedSender) Send(_ context.Context, o *Order) (*Reply, error) {
+func (s *refusedSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
 	s.attempts++
 	if s.attempts > 1 && s.attempts <= 1+s.refusals {
 		return nil, upstream.ErrNotSent
 	}
 	events := func(emit func(Event) bool) error {
-		if o.After == "" {
+		if r.ResumeOffset == "" {
 			emit(Event{Raw: []byte("id: 1\ndata: a\n\n"), ID: 1})
 			return errBroken
 		}
 		emit(Event{Raw: []byte("id: 2\ndata: b\n\n"), ID: 2})
 		return nil
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe succeeds.
-func (*refusedSender) Probe(context.Context, *registry.Member) error { return nil }
+// CheckConnection succeeds.
+func (*refusedSender) CheckConnection(context.Context, *registry.Member) error { return nil }
 
 // Attempts whose connection is refused spend no retry, however many targets refuse, as in
 // a zone outage.
 func TestRefusedConnectionIsNoRetry(t *testing.T) {
 	s := &refusedSender{refusals: 3}
 	h := newTestHandler(t, s, ragworthitch.CallStream)
-	h.retryBudget = budget.New(budget.Limit{Extra: 1, Span: 10 * time.Second}, nil)
+	h.retryBudget = budget.New(budget.Limit{Extra: 1, Window: 10 * time.Second}, nil)
 	w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 	assert.False(t, cut)
 	assert.Contains(t, w.Body.String(), "id: 2\n")
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -22,33 +22,33 @@
 type (
 	// Call is one call of a caller, with its body read.
 	Call struct {
-		ID       string // unique
-		Method   string
-		Host     string // without port
-		URI      string // path and query, as received
-		Path     string // path part of URI
-		Key      string
-		Patience time.Duration // how long the caller waits; 0: unknown
-		Header   http.Header   // passed on to the target
-		Body     []byte
-		After    string // resume offset: id of the last event that the caller has
-		Prompt   int    // tokens in the prompt
-		Output   int    // maximum number of tokens to generate
-		Subject  string // last part of the prompt, which differs between calls or sessions
-		Received clock.Time
+		ID           string // unique
+		Method       string
+		Host         string // without port
+		URI          string // path and query, as received
+		Path         string // path part of URI
+		Key          string
+		Timeout      time.Duration // how long the caller waits; 0: unknown
+		Header       http.Header   // passed on to the target
+		Body         []byte
+		ResumeOffset string // resume offset: id of the last event that the caller has
+		Prompt       int    // tokens in the prompt
+		MaxTokens    int    // maximum number of tokens to generate
+		Subject      string // last part of the prompt, which differs between calls or sessions
+		Received     clock.Time
 	}
 
-	// Order is one attempt: a call as it is sent to one target.
-	Order struct {
-		Call     *Call
-		Target   ragworthitch.Target
-		Member   *registry.Member
-		Org      string
-		Left     time.Duration // remaining time until the call's deadline
-		After    string        // resume offset
-		CopyAt   string        // address of the replica target to resume from; empty: none
-		BackupAt string        // address of the engine that shall hold a replica of this attempt's KV cache; empty: none
-		Rank     Rank          // priority at a busy engine
+	// AttemptRequest is one attempt: a call as it is sent to one target.
+	AttemptRequest struct {
+		Call           *Call
+		Target         ragworthitch.Target
+		Member         *registry.Member
+		Org            string
+		Remaining      time.Duration // remaining time until the call's deadline
+		ResumeOffset   string        // resume offset
+		ReplicaAddress string        // address of the replica target to resume from; empty: none
+		ReplicateTo    string        // address of the engine that shall hold a replica of this attempt's KV cache; empty: none
+		Rank           Rank          // priority at a busy engine
 	}
 
 	// Rank is the priority of an attempt at a busy engine.
@@ -59,11 +59,11 @@
 		Status int
 		// NotRun means that the target did not run the call and never will.
 		NotRun bool
-		// Elsewhere means that another target answered at the address.
-		Elsewhere bool
-		Header    http.Header // passed on to the caller
-		Body      io.ReadCloser
-		Sized     bool // the body has a length or an end mark, so that a truncated body is detected
+		// WrongTarget means that another target answered at the address.
+		WrongTarget bool
+		Header      http.Header // passed on to the caller
+		Body        io.ReadCloser
+		Delimited   bool // the body has a length or an end mark, so that a truncated body is detected
 		// Events passes the events of the stream to emit until emit returns false. It
 		// returns nil if the target ended the stream. If Events is nil, the body is a
 		// text/event-stream.
@@ -74,23 +74,23 @@
 	// upstream.ErrSent.
 	Sender interface {
 		// Send sends an attempt and returns the head of the answer.
-		Send(ctx context.Context, o *Order) (*Reply, error)
-		// Probe checks that a target accepts connections.
-		Probe(ctx context.Context, m *registry.Member) error
+		Send(ctx context.Context, o *AttemptRequest) (*Reply, error)
+		// CheckConnection checks that a target accepts connections.
+		CheckConnection(ctx context.Context, m *registry.Member) error
 	}
 )
 
 // Ranks, highest priority first.
 const (
-	// RankFirst is for streams that resume with little to prefill: the caller already has
+	// RankHigh is for streams that resume with little to prefill: the caller already has
 	// a part of the answer.
-	RankFirst Rank = iota
-	// RankUsual is for new calls.
-	RankUsual
-	// RankLast is for streams whose next event is late at any engine: streams that the
+	RankHigh Rank = iota
+	// RankNormal is for new calls.
+	RankNormal
+	// RankLow is for streams whose next event is late at any engine: streams that the
 	// caller resumes and whose prompt has to be prefilled again, and new streams that no
 	// engine can start in time.
-	RankLast
+	RankLow
 )
 
 // emptyBody is the body of a reply that delivers its events through Reply.Events.
@@ -121,4 +121,4 @@
 func (r *Reply) isFailure() bool { return r.Status >= http.StatusInternalServerError }
 
 // notRun reports whether the call certainly did not run at the target.
-func (r *Reply) notRun() bool { return r.NotRun || r.Elsewhere }
+func (r *Reply) notRun() bool { return r.NotRun || r.WrongTarget }
--- a/ingress/copy.go
+++ b/ingress/copy.go
@@ -40,7 +40,7 @@
 	if !s.replicaStarted || s.copy.addr == "" {
 		return nil
 	}
-	m := s.h.targets.At(s.copy.addr)
+	m := s.h.targets.ByAddress(s.copy.addr)
 	if m == nil || !slices.Contains(m.Target().Services(), s.service()) || m.Target().Boot().Started() > s.copy.requestedAt.UnixMilli() {
 		return nil
 	}
@@ -50,10 +50,10 @@
 // placeReplica selects the replica target of an attempt at m and sets its address in o. The
 // replica target is an engine in another zone, since engines of one zone often fail
 // together, and if possible in a zone where the stream has lost no attempt recently.
-func (s *stream) placeReplica(m *registry.Member, o *Order) {
+func (s *stream) placeReplica(m *registry.Member, r *AttemptRequest) {
 	s.releaseReplica()
 	s.copy, s.replicaStarted, s.releaseReplica = replicaPlacement{}, false, func() {}
-	if e := s.grant.Service.Engine(); e == nil || !e.Backups || !s.grant.Route.Resumable() {
+	if e := s.grant.Service.Engine(); e == nil || !e.CanReplicate || !s.grant.Route.Resumable() {
 		return
 	}
 	now, ownZone := clock.Now(), m.Target().Zone()
@@ -69,8 +69,8 @@
 		return
 	}
 	s.copy = replicaPlacement{addr: target.Target().Address(), requestedAt: time.Now()}
-	s.releaseReplica = target.Work().KeepCopy(s.kvTokens())
-	o.BackupAt = s.copy.addr
+	s.releaseReplica = target.Work().AddReplica(s.kvTokens())
+	r.ReplicateTo = s.copy.addr
 }
 
 // zonesOfLostAttempts returns the zones where the stream has lost an attempt within
--- a/ingress/copy_test.go
+++ b/ingress/copy_test.go
@@ -18,28 +18,28 @@
 // replicaSender breaks the first attempt after an event, once another target has taken
 // over the address of the replica target. It records the order of the second attempt.
 type replicaSender struct {
-	h           *Handler
-	service     string // of the target that takes over the address
-	started     int64
-	secondOrder *Order
+	h             *Handler
+	service       string // of the target that takes over the address
+	started       int64
+	secondAttempt *AttemptRequest
 }
 
-func (s *replicaSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	if o.After != "" {
-		s.secondOrder = o
-		return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 2\ndata: b\n\n")}, nil
+func (s *replicaSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
+	if r.ResumeOffset != "" {
+		s.secondAttempt = r
+		return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("id: 2\ndata: b\n\n")}, nil
 	}
 	events := func(emit func(Event) bool) error {
 		emit(Event{Raw: []byte("id: 1\ndata: a\n\n"), ID: 1})
-		s.h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "new", Started: s.started, Service: s.service, Address: o.BackupAt, Zone: "b"}), 0)
+		s.h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "new", Started: s.started, Service: s.service, Address: r.ReplicateTo, Zone: "b"}), 0)
 		return errBroken
 	}
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe succeeds, so that no target is ejected and the stream does not fail over once
+// CheckConnection succeeds, so that no target is ejected and the stream does not fail over once
 // more.
-func (*replicaSender) Probe(context.Context, *registry.Member) error { return nil }
+func (*replicaSender) CheckConnection(context.Context, *registry.Member) error { return nil }
 
 // A stream resumes from a replica only at a target of its service that was at the
 // replica's address when the attempt was sent.
@@ -65,21 +65,21 @@
 			w, cut := serve(s.h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			require.False(t, cut)
 			assert.Equal(t, http.StatusOK, w.Code)
-			assert.Equal(t, tt.used, s.secondOrder.Target.ID() == "new")
-			assert.Equal(t, tt.used, s.secondOrder.CopyAt != "")
-			assert.Equal(t, "llm", s.secondOrder.Target.Service())
+			assert.Equal(t, tt.used, s.secondAttempt.Target.ID() == "new")
+			assert.Equal(t, tt.used, s.secondAttempt.ReplicaAddress != "")
+			assert.Equal(t, "llm", s.secondAttempt.Target.Service())
 		})
 	}
 }
 
 // zoneSender breaks the first two attempts and records all orders.
 type zoneSender struct {
-	orders []*Order
+	attempts []*AttemptRequest
 }
 
-func (s *zoneSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	s.orders = append(s.orders, o)
-	n := int64(len(s.orders))
+func (s *zoneSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
+	s.attempts = append(s.attempts, r)
+	n := int64(len(s.attempts))
 	events := func(emit func(Event) bool) error {
 		emit(Event{Raw: fmt.Appendf(nil, "id: %d\ndata: a\n\n", n), ID: n})
 		if n < 3 {
@@ -87,11 +87,11 @@
 		}
 		return nil
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe succeeds, as it may for a moment in a zone that has just lost power.
-func (*zoneSender) Probe(context.Context, *registry.Member) error { return nil }
+// CheckConnection succeeds, as it may for a moment in a zone that has just lost power.
+func (*zoneSender) CheckConnection(context.Context, *registry.Member) error { return nil }
 
 // A stream places no replica in a zone where it has just lost an attempt: the engines
 // there accept connections again soon but would not hold the replica.
@@ -106,10 +106,10 @@
 		w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 		require.False(t, cut)
 		require.Equal(t, http.StatusOK, w.Code)
-		first, second, third := s.orders[0], s.orders[1], s.orders[2]
-		assert.Equal(t, first.BackupAt, second.CopyAt)
-		assert.NotEqual(t, first.Target.Zone(), zones[second.BackupAt], "the first zone has just been lost")
-		assert.Equal(t, second.BackupAt, third.CopyAt)
-		assert.NotEmpty(t, third.BackupAt, "where all other zones were lost, one of them may be back")
+		first, second, third := s.attempts[0], s.attempts[1], s.attempts[2]
+		assert.Equal(t, first.ReplicateTo, second.ReplicaAddress)
+		assert.NotEqual(t, first.Target.Zone(), zones[second.ReplicateTo], "the first zone has just been lost")
+		assert.Equal(t, second.ReplicateTo, third.ReplicaAddress)
+		assert.NotEmpty(t, third.ReplicateTo, "where all other zones were lost, one of them may be back")
 	}
 }
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -31,15 +31,15 @@
 // passesQuarantine reports whether the call may run. If its request is quarantined and the
 // call is not its probe, the call is answered.
 func (c *activeCall) passesQuarantine(ctx context.Context) bool {
-	verdict := c.h.poisonTracker.Judge(c.print, clock.Now())
-	if !verdict.Condemned {
+	status := c.h.poisonTracker.Status(c.print, clock.Now())
+	if !status.Quarantined {
 		return true
 	}
-	if c.h.Leaving() || !c.takeProbe(ctx, verdict) {
-		c.answerQuarantined(verdict)
+	if c.h.Draining() || !c.takeProbe(ctx, status) {
+		c.answerQuarantined(status)
 		return false
 	}
-	c.h.log.Info().Str("request", c.call.ID).Stringer("fingerprint", c.print).Int("trial", verdict.Trial.Count).Int("deaths", verdict.Deaths).
+	c.h.log.Info().Str("request", c.call.ID).Stringer("fingerprint", c.print).Int("trial", status.Probe.Count).Int("deaths", status.Crashes).
 		Msg("ingress: quarantined request sent as a probe")
 	return true
 }
@@ -47,15 +47,15 @@
 // takeProbe claims the probe of a quarantined request if one is due, and reports whether
 // this call got it. A probe is due when the verdict's wait is over, or at once if the
 // service has targets of a version that the request has not crashed.
-func (c *activeCall) takeProbe(ctx context.Context, v poison.Verdict) bool {
-	safeVersion := func(m *registry.Member) bool { return !v.Ran(m.Target().Version()) }
-	if v.Wait > 0 {
+func (c *activeCall) takeProbe(ctx context.Context, st poison.Status) bool {
+	safeVersion := func(m *registry.Member) bool { return !st.HasCrashed(m.Target().Version()) }
+	if st.Wait > 0 {
 		if !c.anyAvailable(safeVersion) {
 			return false
 		}
 		c.targetFilter = safeVersion
 	}
-	c.isProbe = c.h.claimProbe(ctx, v.Trial)
+	c.isProbe = c.h.claimProbe(ctx, st.Probe)
 	return c.isProbe
 }
 
@@ -63,7 +63,7 @@
 func (c *activeCall) anyAvailable(match func(*registry.Member) bool) bool {
 	now := clock.Now()
 	for _, m := range c.h.targets.Service(c.service()) {
-		if m.Takes(now) && match(m) {
+		if m.AcceptsCalls(now) && match(m) {
 			return true
 		}
 	}
@@ -72,26 +72,26 @@
 
 // mayReceive reports whether a target may get the call now.
 func (c *activeCall) mayReceive(m *registry.Member, now clock.Time) bool {
-	return m.Takes(now) && (c.targetFilter == nil || c.targetFilter(m))
+	return m.AcceptsCalls(now) && (c.targetFilter == nil || c.targetFilter(m))
 }
 
 // quarantined reports whether the call's request was quarantined after the call was
 // accepted.
-func (c *activeCall) quarantined() (poison.Verdict, bool) {
-	v := c.h.poisonTracker.Judge(c.print, clock.Now())
-	return v, v.Condemned && !c.isProbe
+func (c *activeCall) quarantined() (poison.Status, bool) {
+	st := c.h.poisonTracker.Status(c.print, clock.Now())
+	return st, st.Quarantined && !c.isProbe
 }
 
 // answerQuarantined answers a quarantined request. The status is 500, not 503, because the
 // request ran at the targets that it crashed. Retry-After is the time until a probe is due.
-func (c *activeCall) answerQuarantined(v poison.Verdict) {
+func (c *activeCall) answerQuarantined(st poison.Status) {
 	c.h.stats.quarantined.Inc(1)
 	c.h.log.Warn().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("route", c.grant.Route.Name()).Str("org", c.grant.Org).
-		Str("service", c.service()).Int("sends", c.attempts).Int("deaths", v.Deaths).Dur("wait", v.Wait).Dur("after", clock.Now().Sub(c.call.Received)).
+		Str("service", c.service()).Int("sends", c.attempts).Int("deaths", st.Crashes).Dur("wait", st.Wait).Dur("after", clock.Now().Sub(c.call.Received)).
 		Int("status", http.StatusInternalServerError).Msg("ingress: quarantined request not run")
 	text := fmt.Sprintf(quarantinedBody, c.print)
 	h := c.w.Header()
-	h.Set("Retry-After", strconv.Itoa(int(max(v.Wait, time.Second)/time.Second)))
+	h.Set("Retry-After", strconv.Itoa(int(max(st.Wait, time.Second)/time.Second)))
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	c.w.WriteHeader(http.StatusInternalServerError)
@@ -105,7 +105,7 @@
 func (c *activeCall) recordNoCrash() {
 	if !c.noCrashRecorded {
 		c.noCrashRecorded = true
-		c.h.poisonTracker.RanWell(c.print, clock.Now())
+		c.h.poisonTracker.RecordSuccess(c.print, clock.Now())
 	}
 }
 
@@ -119,18 +119,18 @@
 // investigateCrash records a crash of the request if m was lost soon after the early end
 // of an attempt that started at startedAt.
 func (c *activeCall) investigateCrash(m *registry.Member, startedAt clock.Time, events int) {
-	sighting := poison.Sighting{Events: events, Leaving: c.shutdownExpected(m)}
-	if !sighting.Counts() || !confirmLost(m, startedAt) {
+	loss := poison.LossObservation{Events: events, Draining: c.shutdownExpected(m)}
+	if !loss.Counts() || !confirmLost(m, startedAt) {
 		return
 	}
 	t := m.Target()
-	sighting.Zone = c.countLostNeighbours(m, func(o ragworthitch.Target) bool { return o.Zone() == t.Zone() })
-	sighting.Service = c.countLostNeighbours(m, func(o ragworthitch.Target) bool { return o.Service() == t.Service() })
-	c.h.log.Info().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("target", t.ID()).Int("zoneAsked", sighting.Zone.Asked).Int("zoneLost", sighting.Zone.Lost).
-		Int("serviceAsked", sighting.Service.Asked).Int("serviceLost", sighting.Service.Lost).Int("events", events).Bool("together", sighting.Together()).
+	loss.Zone = c.countLostNeighbours(m, func(o ragworthitch.Target) bool { return o.Zone() == t.Zone() })
+	loss.Service = c.countLostNeighbours(m, func(o ragworthitch.Target) bool { return o.Service() == t.Service() })
+	c.h.log.Info().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("target", t.ID()).Int("zoneAsked", loss.Zone.Asked).Int("zoneLost", loss.Zone.Lost).
+		Int("serviceAsked", loss.Service.Asked).Int("serviceLost", loss.Service.Lost).Int("events", events).Bool("together", loss.InOutage()).
 		Msg("poison: target crashed soon after an attempt started")
-	d := poison.Death{Print: c.print, Boot: t.Boot(), Call: c.call.ID, Org: c.grant.Org, Service: c.service(), Version: t.Version(), Together: sighting.Together()}
-	if c.h.poisonTracker.Died(d, poison.SourceOwn, clock.Now()) {
+	crash := poison.Crash{Fingerprint: c.print, Boot: t.Boot(), Call: c.call.ID, Org: c.grant.Org, Service: c.service(), Version: t.Version(), InOutage: loss.InOutage()}
+	if c.h.poisonTracker.RecordCrash(crash, poison.SourceOwn, clock.Now()) {
 		c.h.notifyPeers()
 	}
 }
@@ -144,8 +144,8 @@
 // confirmLost waits up to crashConfirmTimeout for the target to be found lost and reports
 // whether it was lost after startedAt.
 func confirmLost(m *registry.Member, startedAt clock.Time) bool {
-	lost := m.Health().Lost()
-	if at, ok := m.Health().FailedLately(clock.Now()); ok && at > startedAt || m.Life().Err() != nil {
+	lost := m.Health().NextFailure()
+	if at, ok := m.Health().FailedRecently(clock.Now()); ok && at > startedAt || m.Life().Err() != nil {
 		return true
 	}
 	select {
@@ -161,13 +161,13 @@
 // countLostNeighbours checks the connections of some other targets that match and counts
 // those that were lost along with the given target. It leaves out targets that were lost
 // earlier, that a poison request may have crashed, or that were sent this call.
-func (c *activeCall) countLostNeighbours(lost *registry.Member, match func(ragworthitch.Target) bool) poison.Round {
+func (c *activeCall) countLostNeighbours(lost *registry.Member, match func(ragworthitch.Target) bool) poison.NeighbourCheck {
 	now := clock.Now()
 	var others []*registry.Member
 	for _, m := range c.h.targets.All() {
 		t := m.Target()
 		isNeighbour := m != lost && match(t) && !t.Draining() && !c.tried.has(m)
-		if isNeighbour && !failedEarlier(m, now) && !c.h.poisonTracker.Blames(t.Boot()) {
+		if isNeighbour && !failedEarlier(m, now) && !c.h.poisonTracker.IsAttributed(t.Boot()) {
 			others = append(others, m)
 		}
 	}
@@ -177,29 +177,29 @@
 	for _, m := range others {
 		go func() { answers <- c.isReachable(m, now) }()
 	}
-	round := poison.Round{Asked: len(others)}
+	check := poison.NeighbourCheck{Asked: len(others)}
 	for range others {
 		if !<-answers {
-			round.Lost++
+			check.Lost++
 		}
 	}
-	return round
+	return check
 }
 
 // failedEarlier reports whether a target failed too long ago to have been lost together
 // with others now.
 func failedEarlier(m *registry.Member, now clock.Time) bool {
-	at, ok := m.Health().FailedLately(now)
-	return ok && now.Sub(at) >= poison.TogetherTime
+	at, ok := m.Health().FailedRecently(now)
+	return ok && now.Sub(at) >= poison.OutageWindow
 }
 
 // isReachable reports whether a target accepts a connection and has not failed recently.
 // It ejects a target that accepts none.
 func (c *activeCall) isReachable(m *registry.Member, now clock.Time) bool {
-	if _, ok := m.Health().FailedLately(now); ok {
+	if _, ok := m.Health().FailedRecently(now); ok {
 		return false
 	}
-	err := c.h.sender.Probe(context.Background(), m)
+	err := c.h.sender.CheckConnection(context.Background(), m)
 	if err != nil {
 		c.eject(m, health.CauseRefused, err)
 	}
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -42,61 +42,61 @@
 	poisonStarts     []time.Time // when attempts of a poison request started
 }
 
-func (s *poisonSender) Send(ctx context.Context, o *Order) (*Reply, error) {
-	if s.isCrashed(o.Member) {
+func (s *poisonSender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
+	if s.isCrashed(r.Member) {
 		return nil, upstream.ErrNotSent
 	}
-	body := string(o.Call.Body)
+	body := string(r.Call.Body)
 	s.mu.Lock()
 	if s.attempts == nil {
 		s.attempts = map[string]int{}
 	}
 	s.attempts[body]++
 	s.mu.Unlock()
-	if !clock.Sleep(ctx, crashHeadDelay) || s.isCrashed(o.Member) {
+	if !clock.Sleep(ctx, crashHeadDelay) || s.isCrashed(r.Member) {
 		return nil, upstream.ErrSent
 	}
-	crashes := body == poisonBody && o.Target.Version() != fixedVersion
+	crashes := body == poisonBody && r.Target.Version() != fixedVersion
 	if crashes {
 		s.mu.Lock()
 		s.poisonStarts = append(s.poisonStarts, time.Now())
 		s.mu.Unlock()
 	}
-	if o.Call.Prompt == 0 {
-		return s.plain(ctx, o, crashes)
+	if r.Call.Prompt == 0 {
+		return s.plain(ctx, r, crashes)
 	}
 	events := func(emit func(Event) bool) error {
-		after, _ := strconv.Atoi(o.After) // resume offset; empty: none
+		after, _ := strconv.Atoi(r.ResumeOffset) // resume offset; empty: none
 		for n := after + 1; n <= streamEvents; n++ {
 			if crashes && n > s.crashAfterEvents {
 				clock.Sleep(ctx, crashDelay)
-				s.crash(o.Member)
+				s.crash(r.Member)
 			}
 			if !clock.Sleep(ctx, crashEventInterval) {
 				return ctx.Err()
 			}
-			if s.isCrashed(o.Member) {
+			if s.isCrashed(r.Member) {
 				return errBroken
 			}
 			emit(Event{Raw: fmt.Appendf(nil, "id: %d\ndata: x\n\n", n), ID: int64(n)})
 		}
 		return nil
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-func (s *poisonSender) plain(ctx context.Context, o *Order, crashes bool) (*Reply, error) {
+func (s *poisonSender) plain(ctx context.Context, r *AttemptRequest, crashes bool) (*Reply, error) {
 	if crashes {
-		s.crash(o.Member)
+		s.crash(r.Member)
 	}
-	if s.isCrashed(o.Member) {
+	if s.isCrashed(r.Member) {
 		return nil, upstream.ErrSent
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("answer")}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("answer")}, nil
 }
 
-// Probe fails for crashed targets.
-func (s *poisonSender) Probe(_ context.Context, m *registry.Member) error {
+// CheckConnection fails for crashed targets.
+func (s *poisonSender) CheckConnection(_ context.Context, m *registry.Member) error {
 	if s.isCrashed(m) {
 		return upstream.ErrNotSent
 	}
@@ -135,7 +135,7 @@
 }
 
 func newCall(body string) *Call {
-	return &Call{ID: fmt.Sprint("call-", callCount.Add(1)), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Body: []byte(body), Prompt: 10, Output: 100, Received: clock.Now()}
+	return &Call{ID: fmt.Sprint("call-", callCount.Add(1)), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Body: []byte(body), Prompt: 10, MaxTokens: 100, Received: clock.Now()}
 }
 
 func assertQuarantined(t *testing.T, w *httptest.ResponseRecorder, cut bool) {
@@ -180,7 +180,7 @@
 		assert.Contains(t, w.Body.String(), "id: 1\n")
 		assert.Len(t, s.poisonStarts, 3)
 		c := newCall(poisonBody)
-		c.After = "1"
+		c.ResumeOffset = "1"
 		w, cut = serve(h, c)
 		assertQuarantined(t, w, cut)
 	})
@@ -268,12 +268,12 @@
 					}
 				}
 				time.Sleep(crashEventInterval + time.Millisecond)
-				assert.Equal(t, tt.crashes, h.poisonTracker.Judge(print, clock.Now()).Deaths)
+				assert.Equal(t, tt.crashes, h.poisonTracker.Status(print, clock.Now()).Crashes)
 			}()
 			w, cut := serve(h, c)
 			assert.False(t, cut)
 			assert.Contains(t, w.Body.String(), fmt.Sprintf("id: %d\n", streamEvents))
-			assert.Equal(t, poison.Verdict{}, h.poisonTracker.Judge(print, clock.Now()), "released by a successful attempt")
+			assert.Equal(t, poison.Status{}, h.poisonTracker.Status(print, clock.Now()), "released by a successful attempt")
 		})
 	}
 }
@@ -283,7 +283,7 @@
 	h := newTestHandler(t, s, ragworthitch.CallStream)
 	c := newCall(poisonBody)
 	for i := range 3 {
-		h.poisonTracker.Died(poison.Death{Print: poison.Of("", c.Method, c.Host, c.Path, c.Body), Boot: ragworthitch.NewBoot(fmt.Sprint("x", i), 0), Service: "llm", Version: "v1"},
+		h.poisonTracker.RecordCrash(poison.Crash{Fingerprint: poison.Of("", c.Method, c.Host, c.Path, c.Body), Boot: ragworthitch.NewBoot(fmt.Sprint("x", i), 0), Service: "llm", Version: "v1"},
 			poison.SourcePeer, clock.Now())
 	}
 	return h
--- a/ingress/dialling_test.go
+++ b/ingress/dialling_test.go
@@ -22,30 +22,32 @@
 	connectsFrom    int           // number of the first attempt that connects; 0: none
 	bootEnds        bool          // the target's boot ends instead of an ejection
 	h               *Handler
-	orders          int
+	attempts        int
 }
 
 // Send waits until ctx ends.
-func (s *diallingSender) Send(ctx context.Context, o *Order) (*Reply, error) {
-	s.orders++
-	if s.connectsFrom > 0 && s.orders >= s.connectsFrom {
-		return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
+func (s *diallingSender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
+	s.attempts++
+	if s.connectsFrom > 0 && s.attempts >= s.connectsFrom {
+		return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
 	}
 	if s.targetLostAfter > 0 {
 		time.AfterFunc(s.targetLostAfter, func() {
 			if s.bootEnds {
-				s.h.targets.Refused(o.Target.Boot(), clock.Now())
+				s.h.targets.EndMismatched(r.Target.Boot(), clock.Now())
 				return
 			}
-			o.Member.Health().Failed(clock.Now())
+			r.Member.Health().Failed(clock.Now())
 		})
 	}
 	<-ctx.Done()
 	return nil, fmt.Errorf("%w: %w", upstream.ErrNotSent, ctx.Err())
 }
 
-// Probe fails.
-func (*diallingSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// CheckConnection fails.
+func (*diallingSender) CheckConnection(context.Context, *registry.Member) error {
+	return upstream.ErrNotSent
+}
 
 // A call that was still waiting for a connection when its target was ejected or its
 // deadline passed has not run: it goes to another target or is rejected with Retry-After.
--- a/ingress/guard_test.go
+++ b/ingress/guard_test.go
@@ -18,22 +18,24 @@
 // when the answer is read. It serves other calls.
 type panickingSender struct{ reading bool }
 
-func (s panickingSender) Send(_ context.Context, o *Order) (*Reply, error) {
+func (s panickingSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
 	events := func(emit func(Event) bool) error {
-		if string(o.Call.Body) == poisonBody {
+		if string(r.Call.Body) == poisonBody {
 			panic("reading")
 		}
 		emit(Event{Raw: []byte("id: 1\ndata: a\n\n"), ID: 1})
 		return nil
 	}
-	if string(o.Call.Body) == poisonBody && !s.reading {
+	if string(r.Call.Body) == poisonBody && !s.reading {
 		panic("sending")
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("answer"), Events: events}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("answer"), Events: events}, nil
 }
 
-// Probe fails.
-func (panickingSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// CheckConnection fails.
+func (panickingSender) CheckConnection(context.Context, *registry.Member) error {
+	return upstream.ErrNotSent
+}
 
 // A panic while a call is sent or its answer is read ends only that call, not the
 // instance, and its targets are not ejected.
@@ -54,7 +56,7 @@
 			assert.True(t, cut || w.Code == http.StatusBadGateway, "status %d", w.Code)
 			synctest.Wait()
 			for _, m := range h.targets.All() {
-				assert.True(t, m.Takes(clock.Now()), "%s is ejected for this process's panic", m.Target().ID())
+				assert.True(t, m.AcceptsCalls(clock.Now()), "%s is ejected for this process's panic", m.Target().ID())
 			}
 			w, cut = serve(h, newCall("other"))
 			assert.False(t, cut)
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -14,12 +14,12 @@
 
 	"github.com/ragworthitch/ragworthitch"
 	"github.com/ragworthitch/ragworthitch/budget"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/desired"
 	"github.com/ragworthitch/ragworthitch/health"
 	"github.com/ragworthitch/ragworthitch/pace"
 	"github.com/ragworthitch/ragworthitch/poison"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/rollout"
 	"github.com/ragworthitch/ragworthitch/route"
@@ -44,18 +44,18 @@
 	// Handler serves calls. Create one with New.
 	Handler struct {
 		zone           string
-		desiredState   *desired.Book
+		desiredState   *desired.Tracker
 		targets        *registry.Registry
-		cacheLocations *recall.Recall
+		cacheLocations *cachelocation.Table
 		retryBudget    *budget.Budget
 		sender         Sender
 		enginePolicy   EnginePolicy
 		targetWait     time.Duration
 		notifyPeers    func()
 		borrowRetries  func(ctx context.Context, service string)
-		poisonTracker  *poison.Book
-		rollouts       *rollout.Book
-		claimProbe     func(ctx context.Context, t poison.Trial) bool
+		poisonTracker  *poison.Tracker
+		rollouts       *rollout.Tracker
+		claimProbe     func(ctx context.Context, t poison.Probe) bool
 		isReady        func() bool
 		links          health.Links  // packet loss on the way to each zone
 		paces          pace.Services // learned speeds of the engines of each service
@@ -73,48 +73,48 @@
 
 	// Config holds the dependencies and settings of a Handler.
 	Config struct {
-		Zone    string
-		Book    *desired.Book
-		Targets *registry.Registry
-		Recall  *recall.Recall
-		Budget  *budget.Budget
-		Sender  Sender
-		Engines EnginePolicy  // nil: route.Engines
-		Speeds  *pace.Pace    // fixed engine speeds, for comparisons; nil: speeds are learned
-		Await   time.Duration // how long an interrupted stream waits for an available target
-		Ready   func() bool   // reports whether this instance serves calls well; nil: always
-		Tell    func()        // sends this instance's load and reports to its peers; nil: no peers
-		// Borrow requests retries of a service from peers for the retry budget and returns
+		Zone           string
+		DesiredState   *desired.Tracker
+		Targets        *registry.Registry
+		CacheLocations *cachelocation.Table
+		RetryBudget    *budget.Budget
+		Sender         Sender
+		Engines        EnginePolicy  // nil: route.Engines
+		FixedPace      *pace.Pace    // fixed engine speeds, for comparisons; nil: speeds are learned
+		TargetWait     time.Duration // how long an interrupted stream waits for an available target
+		Ready          func() bool   // reports whether this instance serves calls well; nil: always
+		NotifyPeers    func()        // sends this instance's load and reports to its peers; nil: no peers
+		// BorrowRetries requests retries of a service from peers for the retry budget and returns
 		// when the requests have completed; nil: no peers.
-		Borrow func(ctx context.Context, service string)
-		// Crashes tracks poison requests; nil: a tracker of this handler's own.
-		Crashes *poison.Book
+		BorrowRetries func(ctx context.Context, service string)
+		// PoisonTracker tracks poison requests; nil: a tracker of this handler's own.
+		PoisonTracker *poison.Tracker
 		// Rollouts tracks the roll-outs of services; nil: none.
-		Rollouts *rollout.Book
-		// Claim claims the probe of a quarantined request and reports whether this
+		Rollouts *rollout.Tracker
+		// ClaimProbe claims the probe of a quarantined request and reports whether this
 		// instance got it; nil: claims it in Crashes only.
-		Claim func(ctx context.Context, t poison.Trial) bool
-		Log   zerolog.Logger
-		Scope tally.Scope
+		ClaimProbe func(ctx context.Context, t poison.Probe) bool
+		Log        zerolog.Logger
+		Scope      tally.Scope
 	}
 )
 
 // New returns a Handler.
 func New(cfg Config) *Handler {
-	if cfg.Tell == nil {
-		cfg.Tell = func() {}
+	if cfg.NotifyPeers == nil {
+		cfg.NotifyPeers = func() {}
 	}
-	if cfg.Borrow == nil {
-		cfg.Borrow = func(context.Context, string) {}
+	if cfg.BorrowRetries == nil {
+		cfg.BorrowRetries = func(context.Context, string) {}
 	}
-	if cfg.Crashes == nil {
-		cfg.Crashes = &poison.Book{Log: cfg.Log, Scope: cfg.Scope}
+	if cfg.PoisonTracker == nil {
+		cfg.PoisonTracker = &poison.Tracker{Log: cfg.Log, Scope: cfg.Scope}
 	}
 	if cfg.Rollouts == nil {
-		cfg.Rollouts = &rollout.Book{Log: cfg.Log}
+		cfg.Rollouts = &rollout.Tracker{Log: cfg.Log}
 	}
-	if cfg.Claim == nil {
-		cfg.Claim = func(_ context.Context, t poison.Trial) bool { return cfg.Crashes.Claim(t, 0, clock.Now()) }
+	if cfg.ClaimProbe == nil {
+		cfg.ClaimProbe = func(_ context.Context, p poison.Probe) bool { return cfg.PoisonTracker.Claim(p, 0, clock.Now()) }
 	}
 	if cfg.Engines == nil {
 		cfg.Engines = route.Engines{}
@@ -122,19 +122,19 @@
 	if cfg.Ready == nil {
 		cfg.Ready = func() bool { return true }
 	}
-	return &Handler{notifyPeers: cfg.Tell, borrowRetries: cfg.Borrow, poisonTracker: cfg.Crashes, rollouts: cfg.Rollouts, claimProbe: cfg.Claim, isReady: cfg.Ready, zone: cfg.Zone, desiredState: cfg.Book, targets: cfg.Targets, cacheLocations: cfg.Recall, retryBudget: cfg.Budget,
-		sender: cfg.Sender, enginePolicy: cfg.Engines, fixedPace: cfg.Speeds, targetWait: cfg.Await, log: cfg.Log, stats: newStats(cfg.Scope)}
+	return &Handler{notifyPeers: cfg.NotifyPeers, borrowRetries: cfg.BorrowRetries, poisonTracker: cfg.PoisonTracker, rollouts: cfg.Rollouts, claimProbe: cfg.ClaimProbe, isReady: cfg.Ready, zone: cfg.Zone, desiredState: cfg.DesiredState, targets: cfg.Targets, cacheLocations: cfg.CacheLocations, retryBudget: cfg.RetryBudget,
+		sender: cfg.Sender, enginePolicy: cfg.Engines, fixedPace: cfg.FixedPace, targetWait: cfg.TargetWait, log: cfg.Log, stats: newStats(cfg.Scope)}
 }
 
-// Leave starts draining: the handler asks callers to use other instances and rejects new
+// Drain starts draining: the handler asks callers to use other instances and rejects new
 // streams that are unlikely to end before the deadline.
-func (h *Handler) Leave(deadline clock.Time) {
+func (h *Handler) Drain(deadline clock.Time) {
 	h.drainDeadline.Store(int64(deadline))
 	h.draining.Store(true)
 }
 
-// Leaving reports whether Leave was called.
-func (h *Handler) Leaving() bool { return h.draining.Load() }
+// Draining reports whether Leave was called.
+func (h *Handler) Draining() bool { return h.draining.Load() }
 
 // Active returns the number of calls in progress.
 func (h *Handler) Active() int { return int(h.active.Load()) }
@@ -143,7 +143,7 @@
 func (h *Handler) Serve(ctx context.Context, w http.ResponseWriter, call *Call) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
-	if h.Leaving() || !h.isReady() {
+	if h.Draining() || !h.isReady() {
 		// Makes the caller open its next connection to another instance.
 		w.Header().Set("Connection", "close")
 	}
@@ -154,8 +154,8 @@
 		return
 	}
 	limit := grant.Route.Timeout()
-	if call.Patience > 0 {
-		limit = min(limit, call.Patience)
+	if call.Timeout > 0 {
+		limit = min(limit, call.Timeout)
 	}
 	limit -= now.Sub(call.Received)
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -164,14 +164,14 @@
 	if !c.passesQuarantine(ctx) {
 		return
 	}
-	h.retryBudget.Called(grant.Service.Name(), now)
-	c.lane = h.rollouts.Enter(grant.Service.Name(), grant.Route.Name())
+	h.retryBudget.CountCall(grant.Service.Name(), now)
+	c.role = h.rollouts.AssignRole(grant.Service.Name(), grant.Route.Name())
 	if grant.Route.Kind() != ragworthitch.CallStream {
 		c.servePlain(ctx)
 		return
 	}
 	stream := newStream(c)
-	if h.Leaving() && stream.likelyDuration() > clock.Time(h.drainDeadline.Load()).Sub(now) {
+	if h.Draining() && stream.likelyDuration() > clock.Time(h.drainDeadline.Load()).Sub(now) {
 		// The stream would be cut off at the end of the grace period.
 		c.reject("draining", drainingRetryAfter)
 		return
@@ -179,10 +179,10 @@
 	stream.serve(ctx)
 }
 
-// ServeWhole serves a call whose caller is not an HTTP connection and reports whether the
+// ServeComplete serves a call whose caller is not an HTTP connection and reports whether the
 // answer is complete. Like net/http's handlers, Serve panics with http.ErrAbortHandler to
 // end an answer that must not look complete.
-func (h *Handler) ServeWhole(ctx context.Context, w http.ResponseWriter, call *Call) (complete bool) {
+func (h *Handler) ServeComplete(ctx context.Context, w http.ResponseWriter, call *Call) (complete bool) {
 	h.catchPanic(call.ID, func() {
 		defer func() {
 			if r := recover(); r != nil && r != http.ErrAbortHandler {
@@ -199,8 +199,8 @@
 // the moment.
 func (h *Handler) deny(w http.ResponseWriter, call *Call, grant desired.Grant, err error) {
 	status, retryAfter := http.StatusServiceUnavailable, unknownStateRetryAfter
-	if call.Patience > 0 {
-		retryAfter = time.Duration(unknownStateRetryShare * float64(call.Patience))
+	if call.Timeout > 0 {
+		retryAfter = time.Duration(unknownStateRetryShare * float64(call.Timeout))
 	}
 	switch {
 	case errors.Is(err, desired.ErrNoRoute):
--- a/ingress/job.go
+++ b/ingress/job.go
@@ -35,7 +35,7 @@
 	isProbe         bool                        // the request is quarantined, and this call is its probe
 	targetFilter    func(*registry.Member) bool // selects the targets that may get the call; nil: all
 	noCrashRecorded bool                        // recordNoCrash has been called
-	lane            rollout.Lane                // the call's part in a roll-out of its service
+	role            rollout.CallRole            // the call's part in a roll-out of its service
 }
 
 // remaining returns the time until the call's deadline.
@@ -50,14 +50,14 @@
 	if c.attempts == 0 {
 		return true
 	}
-	if c.attempts >= c.grant.Route.MaxTargets() || c.isProbe {
+	if c.attempts >= c.grant.Route.MaxAttempts() || c.isProbe {
 		return false
 	}
 	if !c.obtainRetry(ctx) {
 		now := clock.Now()
 		c.h.stats.overBudget.Inc(1)
 		c.h.log.Info().Str("request", c.call.ID).Str("service", c.service()).Int("sends", c.attempts).
-			Int("sharedBy", c.h.retryBudget.Sharers(now)).Msg("ingress: retry budget exhausted; call not retried")
+			Int("sharedBy", c.h.retryBudget.Instances(now)).Msg("ingress: retry budget exhausted; call not retried")
 		return false
 	}
 	c.retryReserved = false
@@ -97,7 +97,7 @@
 	for i, m := range ms {
 		t := m.Target()
 		candidates[i] = route.PlainCandidate{Takes: c.mayReceive(m, now) && !c.tried.has(m), LatencyMs: m.Health().Latency(),
-			Errors: m.Health().Errors(now), Running: m.Work().All().Running, Slots: t.Slots(), Cold: m.Cold(now),
+			Errors: m.Health().ErrorRate(now), Running: m.Work().All().Running, Slots: t.Slots(), Cold: m.IsCold(now),
 			SameZone: t.Zone() == c.h.zone, Loss: c.h.links.Loss(t.Zone(), now), Jitter: rand.Float64()}
 	}
 	if i := route.Pick(candidates, route.Plain{}, 0); i >= 0 {
@@ -127,11 +127,11 @@
 		t := m.Target()
 		load, interval := m.Work().All(), c.interval(m, p, now)
 		candidates[i] = route.EngineCandidate{Takes: c.mayReceive(m, now), Backlog: float64(load.Prefill) / usualPrompt, Running: load.Running, Memory: memoryShare(load.Tokens, c.grant.Service.Engine()),
-			Slow: slowness(interval, p), Answer: generation,
-			Late: c.firstEventLate(load, interval, p, now), Errors: m.Health().Errors(now), SameZone: t.Zone() == c.h.zone, Trouble: outageProbability[t.Zone()],
-			Loss: c.h.links.Loss(t.Zone(), now), Cold: m.Cold(now),
-			Home: preferred[i], Back: c.call.After != "",
-			Barred: slices.Contains(excludedZones, t.Zone()) || slices.Contains(excluded, m), Jitter: rand.Float64()}
+			Slowdown: slowness(interval, p), Answer: generation,
+			MissesObjective: c.firstEventLate(load, interval, p, now), Errors: m.Health().ErrorRate(now), SameZone: t.Zone() == c.h.zone, ZoneOutage: outageProbability[t.Zone()],
+			Loss: c.h.links.Loss(t.Zone(), now), Cold: m.IsCold(now),
+			Preference: preferred[i], Returning: c.call.ResumeOffset != "",
+			Excluded: slices.Contains(excludedZones, t.Zone()) || slices.Contains(excluded, m), Jitter: rand.Float64()}
 	}
 	if i := route.Pick(candidates, c.h.enginePolicy, 0); i >= 0 {
 		return ms[i]
@@ -142,12 +142,12 @@
 // firstEventLate reports whether the first event of a stream sent now to an engine with
 // the given load and event interval is expected after its objective.
 func (c *activeCall) firstEventLate(load registry.Load, interval time.Duration, p pace.Pace, now clock.Time) bool {
-	objective := c.grant.Route.Target()
-	expected := p.First(load.Prefill+c.call.Prompt, interval)
+	objective := c.grant.Route.Objective()
+	expected := p.TimeToFirstEvent(load.Prefill+c.call.Prompt, interval)
 	return objective > 0 && expected > objective-now.Sub(c.call.Received)
 }
 
-// pace returns the speeds of the call's service, as learned or as fixed by Config.Speeds.
+// pace returns the speeds of the call's service, as learned or as fixed by Config.FixedPace.
 func (c *activeCall) pace() pace.Pace {
 	if c.h.fixedPace != nil {
 		return *c.h.fixedPace
@@ -157,40 +157,40 @@
 
 // interval returns the expected event interval at m; 0 if unknown.
 func (c *activeCall) interval(m *registry.Member, p pace.Pace, now clock.Time) time.Duration {
-	return c.intervalFromUsual(m, p.Gap, now)
+	return c.intervalFromUsual(m, p.EventInterval, now)
 }
 
 // intervalFromUsual is like interval, but takes only the usual event interval of the
 // service, not its whole pace.
 func (c *activeCall) intervalFromUsual(m *registry.Member, usual time.Duration, now clock.Time) time.Duration {
 	if c.h.fixedPace != nil {
-		return c.h.fixedPace.Gap
+		return c.h.fixedPace.EventInterval
 	}
-	return m.Pace().Gap(usual, now)
+	return m.Pace().EventInterval(usual, now)
 }
 
 // slowness returns an engine's event interval relative to the usual one; 0 if unknown.
 func slowness(interval time.Duration, p pace.Pace) float64 {
-	if p.Gap == 0 {
+	if p.EventInterval == 0 {
 		return 0
 	}
-	return float64(interval) / float64(p.Gap)
+	return float64(interval) / float64(p.EventInterval)
 }
 
 // generationInPrefills returns the time to generate a usual answer to the call as a
 // multiple of the time to prefill a usual prompt; 0 if unknown.
 func (c *activeCall) generationInPrefills(p pace.Pace) float64 {
 	tokensPerEvent := c.tokensPerEvent()
-	if tokensPerEvent == 0 || p.Prompt == 0 || p.Ratio == 0 {
+	if tokensPerEvent == 0 || p.Prompt == 0 || p.PrefillRatio == 0 {
 		return 0
 	}
-	return p.Length * float64(c.call.Output/tokensPerEvent) / (p.Prompt * p.Ratio)
+	return p.UsualAnswer * float64(c.call.MaxTokens/tokensPerEvent) / (p.Prompt * p.PrefillRatio)
 }
 
 // tokensPerEvent returns the number of tokens in an event; 0 if unknown.
 func (c *activeCall) tokensPerEvent() int {
 	if e := c.grant.Service.Engine(); e != nil {
-		return e.Stride
+		return e.TokensPerEvent
 	}
 	return 0
 }
@@ -198,7 +198,7 @@
 // preferredWeights returns how strongly each engine is preferred for the call: the engine
 // with the cached prefix if known, otherwise by rendezvous hashing.
 func (c *activeCall) preferredWeights(ms []*registry.Member, now clock.Time) []float64 {
-	if boot, ok := c.h.cacheLocations.Where(c.call.Subject, now); ok {
+	if boot, ok := c.h.cacheLocations.Find(c.call.Subject, now); ok {
 		i := slices.IndexFunc(ms, func(m *registry.Member) bool { return m.Target().Boot() == boot })
 		if i >= 0 {
 			out := make([]float64, len(ms))
@@ -206,7 +206,7 @@
 			return out
 		}
 	}
-	return route.Homes(c.call.Subject, addresses(ms))
+	return route.PreferenceWeights(c.call.Subject, addresses(ms))
 }
 
 func addresses(ms []*registry.Member) []string {
@@ -231,7 +231,7 @@
 	m.Conns().DropIdle()
 	c.h.stats.ejections.Inc(1)
 	if t := m.Target(); !t.Draining() {
-		c.h.poisonTracker.Lost(poison.Loss{Service: t.Service(), Zone: t.Zone(), Boot: t.Boot(), Targets: len(c.h.targets.Service(t.Service()))}, clock.Now())
+		c.h.poisonTracker.RecordLoss(poison.Loss{Service: t.Service(), Zone: t.Zone(), Boot: t.Boot(), Targets: len(c.h.targets.Service(t.Service()))}, clock.Now())
 	}
 	c.h.log.Warn().Str("request", c.call.ID).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Str("cause", string(cause)).
 		AnErr("error", err).Dur("outFor", ejectedFor).Msg("health: target ejected")
@@ -261,12 +261,12 @@
 // checkConnection opens a connection to a target, unless a check is already in progress,
 // and returns an error if the target accepts none.
 func (c *activeCall) checkConnection(m *registry.Member) error {
-	if !m.Health().BeginProbe() {
+	if !m.Health().BeginCheck() {
 		return nil
 	}
-	defer m.Health().EndProbe()
+	defer m.Health().EndCheck()
 	startedAt := clock.Now()
-	err := c.h.sender.Probe(context.Background(), m)
+	err := c.h.sender.CheckConnection(context.Background(), m)
 	if err != nil && timerOverran(upstream.DialTimeout, clock.Now().Sub(startedAt)) {
 		return nil // this process was suspended: the answer may be waiting to be read
 	}
@@ -283,7 +283,7 @@
 
 // dropStaleEntry drops the entry of a target at whose address another target answers.
 func (c *activeCall) dropStaleEntry(m *registry.Member) {
-	c.h.targets.Refused(m.Target().Boot(), clock.Now())
+	c.h.targets.EndMismatched(m.Target().Boot(), clock.Now())
 	c.h.log.Warn().Str("request", c.call.ID).Str("target", m.Target().ID()).Str("address", m.Target().Address()).
 		Msg("health: another target answers at the address; stale entry dropped")
 }
--- a/ingress/model_test.go
+++ b/ingress/model_test.go
@@ -20,9 +20,9 @@
 
 	"github.com/ragworthitch/ragworthitch"
 	"github.com/ragworthitch/ragworthitch/budget"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/desired"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
@@ -44,7 +44,7 @@
 	reached int // attempts that reached a target
 }
 
-func (m *faultySender) Send(ctx context.Context, o *Order) (*Reply, error) {
+func (m *faultySender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ctx.Err() != nil {
@@ -59,7 +59,7 @@
 	case 1:
 		return &Reply{Status: http.StatusServiceUnavailable, NotRun: true, Header: http.Header{}, Body: body("")}, nil
 	case 2:
-		return &Reply{Status: http.StatusMisdirectedRequest, Elsewhere: true, Header: http.Header{}, Body: body("")}, nil
+		return &Reply{Status: http.StatusMisdirectedRequest, WrongTarget: true, Header: http.Header{}, Body: body("")}, nil
 	}
 	m.started++
 	switch outcome {
@@ -68,7 +68,7 @@
 	case 4:
 		return &Reply{Status: http.StatusInternalServerError, Header: http.Header{}, Body: body("failed")}, nil
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: m.stream(o)}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: m.stream(r)}, nil
 }
 
 // startedCount returns the number of attempts that a target has started to run.
@@ -80,8 +80,8 @@
 
 // stream returns the events after the resume offset or, as an engine with a fault, from
 // another offset; complete or cut off at any byte.
-func (m *faultySender) stream(o *Order) io.ReadCloser {
-	lastEvent, _ := strconv.Atoi(o.After) // empty: from the start
+func (m *faultySender) stream(r *AttemptRequest) io.ReadCloser {
+	lastEvent, _ := strconv.Atoi(r.ResumeOffset) // empty: from the start
 	switch fault := m.rng.IntN(8); {
 	case fault == 0:
 		lastEvent = max(0, lastEvent-1-m.rng.IntN(3)) // repeats events that the caller has
@@ -90,7 +90,7 @@
 	}
 	var b strings.Builder
 	for n := lastEvent + 1; n <= streamEvents; n++ {
-		fmt.Fprintf(&b, "id: %d\ndata: %s/%d\n\n", n, o.Call.ID, n)
+		fmt.Fprintf(&b, "id: %d\ndata: %s/%d\n\n", n, r.Call.ID, n)
 	}
 	if m.rng.IntN(2) == 0 || b.Len() == 0 {
 		return body(b.String())
@@ -110,27 +110,27 @@
 func newTestHandler(t testing.TB, s Sender, kind ragworthitch.CallKind) *Handler {
 	d, err := ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: 1,
 		Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: "llm",
-			Engine: &ragworthitch.Engine{Slots: 8, KVTokens: 80000, Backups: true, Stride: 10}})},
+			Engine: &ragworthitch.Engine{Slots: 8, KVTokens: 80000, CanReplicate: true, TokensPerEvent: 10}})},
 		Routes: []ragworthitch.Route{ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "r", Host: "h", Prefix: "/p/", Kind: kind,
-			Timeout: 5 * time.Second, Target: time.Second, MaxTargets: maxTargets, Resumable: true,
+			Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: maxTargets, Resumable: true,
 			Shares: []ragworthitch.Share{{Service: "llm", Weight: 1}}})}})
 	require.NoError(t, err)
-	book := desired.NewBook(desired.Ages{Deny: time.Minute, Key: time.Minute})
-	book.Apply(d)
-	book.Proved(clock.Now())
+	tracker := desired.NewTracker(desired.Ages{Reject: time.Minute, Key: time.Minute})
+	tracker.Apply(d)
+	tracker.MarkVerified(clock.Now())
 	var targets registry.Registry
 	for i := range testTargets {
 		targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint("i-", i), Service: "llm",
 			Address: fmt.Sprintf("127.0.0.1:%d", 1+i), Zone: string(rune('a' + i%3)), Slots: 8}), 0)
 	}
-	return New(Config{Zone: "a", Book: book, Targets: &targets, Recall: &recall.Recall{}, Sender: s, Log: zerolog.Nop(),
-		Budget: budget.New(budget.Limit{Ratio: 0.8, Extra: 1000, Span: 10 * time.Second}, nil)})
+	return New(Config{Zone: "a", DesiredState: tracker, Targets: &targets, CacheLocations: &cachelocation.Table{}, Sender: s, Log: zerolog.Nop(),
+		RetryBudget: budget.New(budget.Limit{Ratio: 0.8, Extra: 1000, Window: 10 * time.Second}, nil)})
 }
 
 // serve serves one call and reports whether the answer was cut off.
 func serve(h *Handler, c *Call) (w *httptest.ResponseRecorder, cut bool) {
 	w = httptest.NewRecorder()
-	return w, !h.ServeWhole(context.Background(), w, c)
+	return w, !h.ServeComplete(context.Background(), w, c)
 }
 
 var eventPattern = regexp.MustCompile(`^id: (\d+)\ndata: ([^/]+)/(\d+)\n\n`)
@@ -145,9 +145,9 @@
 	f.Fuzz(func(t *testing.T, seed uint64, after uint8) {
 		s := &faultySender{rng: rand.New(rand.NewPCG(seed, 2))}
 		first := int(after) % (streamEvents + 1)
-		c := &Call{ID: "call", Method: "POST", Host: "h", URI: "/p/x", Path: "/p/x", Header: http.Header{}, Prompt: 10, Output: 100, Received: clock.Now()}
+		c := &Call{ID: "call", Method: "POST", Host: "h", URI: "/p/x", Path: "/p/x", Header: http.Header{}, Prompt: 10, MaxTokens: 100, Received: clock.Now()}
 		if first > 0 {
-			c.After = strconv.Itoa(first)
+			c.ResumeOffset = strconv.Itoa(first)
 		}
 		w, cut := serve(newTestHandler(t, s, ragworthitch.CallStream), c)
 		checkStream(t, w, cut, first)
@@ -218,5 +218,7 @@
 	})
 }
 
-// Probe fails.
-func (*faultySender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// CheckConnection fails.
+func (*faultySender) CheckConnection(context.Context, *registry.Member) error {
+	return upstream.ErrNotSent
+}
--- a/ingress/needs.go
+++ b/ingress/needs.go
@@ -12,20 +12,20 @@
 // at the best engine.
 func (s *stream) cannotEndInTime(best *registry.Member) bool {
 	interval := s.activeCall.interval(best, s.pace(), clock.Now())
-	return s.admission(best.Work().All().Prefill, interval).Hopeless()
+	return s.admission(best.Work().All().Prefill, interval).MissesDeadline()
 }
 
 // likelyDuration returns how long the stream usually takes at an idle engine.
-func (s *stream) likelyDuration() time.Duration { return s.admission(0, 0).Likely() }
+func (s *stream) likelyDuration() time.Duration { return s.admission(0, 0).ExpectedDuration() }
 
 // admission returns the stream's figures for admission, behind a backlog of prefill tokens
 // at an engine with the given event interval.
 func (s *stream) admission(backlog int, interval time.Duration) admit.Stream {
 	prompt := s.call.Prompt
-	if s.call.After != "" {
+	if s.call.ResumeOffset != "" {
 		prompt = 0 // the prefix may still be cached
 	}
-	return admit.Stream{Pace: s.pace(), Gap: interval, Left: s.remaining(clock.Now()), Prompt: prompt, Backlog: backlog, Output: s.call.Output, Stride: s.tokensPerEvent(), After: s.lastID}
+	return admit.Stream{Pace: s.pace(), EventInterval: interval, Remaining: s.remaining(clock.Now()), Prompt: prompt, Backlog: backlog, MaxTokens: s.call.MaxTokens, TokensPerEvent: s.tokensPerEvent(), ResumeOffset: s.lastID}
 }
 
 // rank returns the priority of the stream's next attempt, at the selected engine m. A
@@ -35,22 +35,22 @@
 // under overload, every stream would be late.
 func (s *stream) rank(m *registry.Member) Rank {
 	if s.headSent || s.prefixCached(m) {
-		return RankFirst
+		return RankHigh
 	}
 	now, p := clock.Now(), s.pace()
-	if s.call.After != "" || s.firstEventLate(m.Work().All(), s.activeCall.interval(m, p, now), p, now) {
-		return RankLast
+	if s.call.ResumeOffset != "" || s.firstEventLate(m.Work().All(), s.activeCall.interval(m, p, now), p, now) {
+		return RankLow
 	}
-	return RankUsual
+	return RankNormal
 }
 
 // prefixCached reports whether the caller resumes the stream and m is known to hold its
 // cached prefix.
 func (s *stream) prefixCached(m *registry.Member) bool {
-	if s.call.After == "" {
+	if s.call.ResumeOffset == "" {
 		return false
 	}
-	boot, ok := s.h.cacheLocations.Where(s.call.Subject, clock.Now())
+	boot, ok := s.h.cacheLocations.Find(s.call.Subject, clock.Now())
 	return ok && boot == m.Target().Boot()
 }
 
@@ -70,9 +70,9 @@
 // kvTokens returns the tokens that the stream is expected to hold in an engine's KV cache
 // at its end.
 func (s *stream) kvTokens() int {
-	share := s.pace().Length
+	share := s.pace().UsualAnswer
 	if share == 0 {
 		share = 1
 	}
-	return s.call.Prompt + int(share*float64(s.call.Output))
+	return s.call.Prompt + int(share*float64(s.call.MaxTokens))
 }
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the other attempts
 	safe := c.grant.Route.Kind() == ragworthitch.CallSafe
-	results := make(chan attemptResult, maxDials+c.grant.Route.MaxTargets())
+	results := make(chan attemptResult, maxDials+c.grant.Route.MaxAttempts())
 	pending, dials := 0, 0
 	startAttempt := func() bool {
 		if dials >= maxDials {
@@ -59,14 +59,14 @@
 		}
 		dials++
 		pending++
-		c.h.rollouts.Sent(c.service(), m.Target().Version(), c.lane, c.attempts > 0)
+		c.h.rollouts.Sent(c.service(), m.Target().Version(), c.role, c.attempts > 0)
 		c.attempts++
 		c.tried.add(m)
 		go func() { results <- c.sendPlainCatchingPanic(ctx, m) }()
 		return true
 	}
 	startAttempt()
-	hedge := time.NewTimer(max(minHedgeDelay, time.Duration(hedgeDelayShare*float64(c.grant.Route.Target()))))
+	hedge := time.NewTimer(max(minHedgeDelay, time.Duration(hedgeDelayShare*float64(c.grant.Route.Objective()))))
 	defer hedge.Stop()
 	var lastFailure *attemptResult // an answer with an error status, sent to the caller if no attempt succeeds
 	var cause error
@@ -83,8 +83,8 @@
 			case !result.reply.notRun():
 				lastFailure = &result
 			}
-			if v, ok := c.quarantined(); ok {
-				c.answerQuarantined(v)
+			if st, ok := c.quarantined(); ok {
+				c.answerQuarantined(st)
 				return
 			}
 			if c.mayHaveRun && !safe {
@@ -161,8 +161,8 @@
 		}
 	})()
 	result := attemptResult{member: m}
-	o := &Order{Call: c.call, Target: m.Target(), Member: m, Org: c.grant.Org, Left: c.remaining(startedAt)}
-	result.reply, result.err = c.h.sender.Send(ctx, o)
+	r := &AttemptRequest{Call: c.call, Target: m.Target(), Member: m, Org: c.grant.Org, Remaining: c.remaining(startedAt)}
+	result.reply, result.err = c.h.sender.Send(ctx, r)
 	if result.err == nil {
 		result.body, result.err = readBody(result.reply.Body)
 	}
@@ -186,7 +186,7 @@
 		go c.investigatePlainLoss(result.member, startedAt)
 		c.recordPlainSymptoms(result, startedAt, took)
 		c.h.log.Warn().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("target", result.member.Target().ID()).Dur("after", took).Err(result.err).Msg("ingress: target sent no complete answer")
-	case result.reply.Elsewhere:
+	case result.reply.WrongTarget:
 		c.dropStaleEntry(result.member)
 	default:
 		result.member.Health().Answered(now, took, result.reply.isFailure())
--- a/ingress/probe_test.go
+++ b/ingress/probe_test.go
@@ -44,7 +44,7 @@
 	attempts atomic.Int32
 }
 
-func (s *quietSender) Send(ctx context.Context, o *Order) (*Reply, error) {
+func (s *quietSender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
 	attempt := s.attempts.Add(1)
 	events := func(emit func(Event) bool) error {
 		for n := int64(1); n <= 3; n++ {
@@ -55,11 +55,11 @@
 		}
 		return nil
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe fails after the dial timeout.
-func (*quietSender) Probe(ctx context.Context, _ *registry.Member) error {
+// CheckConnection fails after the dial timeout.
+func (*quietSender) CheckConnection(ctx context.Context, _ *registry.Member) error {
 	clock.Sleep(ctx, upstream.DialTimeout)
 	return upstream.ErrNotSent
 }
--- a/ingress/run.go
+++ b/ingress/run.go
@@ -74,7 +74,7 @@
 
 // sendCatchingPanic is like send, with a.results as the receiver. It passes on a panic as
 // the error that ends the attempt.
-func (a *attempt) sendCatchingPanic(ctx context.Context, o *Order) {
+func (a *attempt) sendCatchingPanic(ctx context.Context, r *AttemptRequest) {
 	emitResult := func(result readResult) bool {
 		select {
 		case a.results <- result:
@@ -83,7 +83,7 @@
 			return false
 		}
 	}
-	if err := a.s.h.catchPanic(a.s.call.ID, func() { a.send(ctx, o, emitResult) }); err != nil {
+	if err := a.s.h.catchPanic(a.s.call.ID, func() { a.send(ctx, r, emitResult) }); err != nil {
 		select {
 		case a.sendResult <- err:
 		default: // the result is there already
@@ -93,8 +93,8 @@
 }
 
 // send sends the attempt and passes everything received from the target to emitResult.
-func (a *attempt) send(ctx context.Context, o *Order, emitResult func(readResult) bool) {
-	reply, err := a.s.h.sender.Send(ctx, o)
+func (a *attempt) send(ctx context.Context, r *AttemptRequest, emitResult func(readResult) bool) {
+	reply, err := a.s.h.sender.Send(ctx, r)
 	a.sendResult <- err
 	if err != nil {
 		emitResult(readResult{err: err, end: true})
@@ -137,7 +137,7 @@
 // watch forwards events until the attempt ends or its target is lost or silent.
 func (a *attempt) watch(ctx context.Context) error {
 	s := a.s
-	lost, bootEnded := a.member.Health().Lost(), a.member.Life().Done()
+	lost, bootEnded := a.member.Health().NextFailure(), a.member.Life().Done()
 	quarantined, stopWaiting := s.h.poisonTracker.Await(s.print)
 	defer stopWaiting()
 	if s.isProbe {
@@ -165,7 +165,7 @@
 				return a.finish(ctx, head, result)
 			}
 			if result.event.Raw != nil {
-				a.member.Health().Heard(result.readAt)
+				a.member.Health().RecordContact(result.readAt)
 				a.observeEvent(result.readAt)
 				a.recordSpeed()
 				if err := a.forward(head, result.event); err != nil {
@@ -267,7 +267,7 @@
 			s.checkAfterReset(a.member)
 		}
 		return result.err
-	case head.Elsewhere:
+	case head.WrongTarget:
 		s.dropStaleEntry(a.member)
 		return upstream.ErrNotSent
 	case head.NotRun:
@@ -278,14 +278,14 @@
 		return a.finishWithoutStream(head, result.event.Raw)
 	}
 	s.mayHaveRun = true
-	if !head.Sized && s.lastID == 0 {
+	if !head.Delimited && s.lastID == 0 {
 		return upstream.ErrSent
 	}
 	if !s.headSent {
 		// The caller has all events, and the target has none to add.
 		s.sendHead(head)
 	}
-	s.h.paces.Of(s.service()).Ended(s.lastID, s.admission(0, 0).Most(), a.lastEventAt.Sub(a.firstEventAt), a.events)
+	s.h.paces.Of(s.service()).AddAnswer(s.lastID, s.admission(0, 0).MaxEvents(), a.lastEventAt.Sub(a.firstEventAt), a.events)
 	return nil
 }
 
@@ -301,7 +301,7 @@
 	if s.headSent {
 		return upstream.ErrSent
 	}
-	if head.isFailure() && s.grant.Route.Idempotent() && s.attempts < s.grant.Route.MaxTargets() {
+	if head.isFailure() && s.grant.Route.IsIdempotent() && s.attempts < s.grant.Route.MaxAttempts() {
 		return upstream.ErrSent
 	}
 	s.logFailure(head.Status, "target answered without a stream", nil)
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -68,7 +68,7 @@
 // canFailOver reports whether the stream may be sent to another target. If not, the
 // attempt goes on although its target seems lost.
 func (a *attempt) canFailOver() bool {
-	return a.s.grant.Route.Idempotent() && a.s.attempts < a.s.grant.Route.MaxTargets() && !a.s.isProbe
+	return a.s.grant.Route.IsIdempotent() && a.s.attempts < a.s.grant.Route.MaxAttempts() && !a.s.isProbe
 }
 
 // checkSilence checks an attempt that has been silent for the given time and reports
@@ -109,7 +109,7 @@
 func (a *attempt) recordSilence(silence time.Duration) {
 	a.member.Health().Answered(clock.Now(), silence, true)
 	if !a.headReceived && a.fromStart {
-		a.s.h.paces.Of(a.s.service()).Waited(silence, a.expectedFirstEvent(clock.Now()))
+		a.s.h.paces.Of(a.s.service()).AddWait(silence, a.expectedFirstEvent(clock.Now()))
 	}
 }
 
@@ -123,26 +123,26 @@
 	switch {
 	case a.s.replicaTarget() != nil:
 		share, pauses = replicaFailoverShare, replicaFailoverPauses
-	case a.s.grant.Route.Stall() > 0:
-		return a.s.grant.Route.Stall()
+	case a.s.grant.Route.StallTimeout() > 0:
+		return a.s.grant.Route.StallTimeout()
 	case memoryShare(a.member.Work().All().Tokens, a.s.grant.Service.Engine()) > fullMemoryShare:
 		share = fullMemoryFailoverShare
 	}
-	longest := a.member.Pace().Longest(now)
+	longest := a.member.Pace().LongestInterval(now)
 	return max(scaled(share, a.intervalObjective), scaled(pauses, longest))
 }
 
 // expectedFirstEvent returns the expected time to first event; 0 if unknown.
 func (a *attempt) expectedFirstEvent(now clock.Time) time.Duration {
 	p := a.s.pace()
-	return p.First(a.prefillBacklog+a.prefillTokens, a.s.interval(a.member, p, now))
+	return p.TimeToFirstEvent(a.prefillBacklog+a.prefillTokens, a.s.interval(a.member, p, now))
 }
 
 // firstEventTimeout returns the time to first event after which the stream fails over.
 func (a *attempt) firstEventTimeout(now clock.Time) time.Duration {
 	expected := a.expectedFirstEvent(now)
 	if expected == 0 {
-		objective := a.s.grant.Route.Target()
+		objective := a.s.grant.Route.Objective()
 		if objective == 0 {
 			objective = defaultFirstEventObjective
 		}
@@ -150,11 +150,11 @@
 	}
 	p := a.s.pace()
 	factor, margin := float64(firstEventTimeoutFactor), firstEventTimeoutMargin
-	if a.rank == RankLast {
+	if a.rank == RankLow {
 		factor, margin = lowRankTimeoutFactor, lowRankTimeoutMargin
 	}
 	factor = max(factor, spreadTimeoutFactor*p.Spread)
-	return scaled(factor, expected) + scaled(margin, p.Reading(int(p.Prompt), p.Gap))
+	return scaled(factor, expected) + scaled(margin, p.PrefillTime(int(p.Prompt), p.EventInterval))
 }
 
 func scaled(factor float64, d time.Duration) time.Duration { return time.Duration(factor * float64(d)) }
@@ -174,15 +174,15 @@
 
 // connCheckAfter returns the silence after which the connection to the target is checked.
 func (a *attempt) connCheckAfter(now clock.Time) time.Duration {
-	if !a.member.Work().All().Reads() {
+	if !a.member.Work().All().Prefilling() {
 		return a.decodeConnCheckAfter(now)
 	}
-	return max(scaled(connCheckShare, a.intervalObjective), scaled(connCheckPauses, a.member.Pace().Longest(now)))
+	return max(scaled(connCheckShare, a.intervalObjective), scaled(connCheckPauses, a.member.Pace().LongestInterval(now)))
 }
 
 // decodeConnCheckAfter is like connCheckAfter for a target that prefills no prompt.
 func (a *attempt) decodeConnCheckAfter(now clock.Time) time.Duration {
-	return max(scaled(decodeConnCheckShare, a.intervalObjective), scaled(decodeConnCheckIntervals, a.member.Pace().Own(now)))
+	return max(scaled(decodeConnCheckShare, a.intervalObjective), scaled(decodeConnCheckIntervals, a.member.Pace().MeasuredInterval(now)))
 }
 
 // nextSilenceCheck returns the time until a silent attempt is checked again.
@@ -201,24 +201,24 @@
 	if a.lastEventAt == 0 {
 		a.firstEventAt, a.lastEventAt = readAt, readAt
 		if a.fromStart {
-			service.Waited(readAt.Sub(a.startedAt), a.expectedFirstEvent(readAt))
+			service.AddWait(readAt.Sub(a.startedAt), a.expectedFirstEvent(readAt))
 		}
 		return
 	}
-	interval, usual := readAt.Sub(a.lastEventAt), a.s.intervalFromUsual(a.member, service.Gap(), readAt)
+	interval, usual := readAt.Sub(a.lastEventAt), a.s.intervalFromUsual(a.member, service.EventInterval(), readAt)
 	if a.lastEventLate && interval <= scaled(burstIntervals, usual) {
 		a.recordPacketLoss(readAt)
 	}
 	a.lastEventLate = usual != 0 && interval >= scaled(lateEventIntervals, usual)
 	a.lastEventAt = readAt
-	decodeOnly := !a.member.Work().All().Reads()
+	decodeOnly := !a.member.Work().All().Prefilling()
 	a.member.Pace().Event(interval, decodeOnly, readAt)
 	if decodeOnly {
 		a.decodeIntervals.add(interval)
 		service.Event(interval)
 	}
 	if a.events == firstEventSampleAt && a.fromStart && a.prefillBacklog == 0 {
-		service.First(a.firstEventAt.Sub(a.startedAt), a.prefillTokens, a.member.Pace().Own(readAt))
+		service.AddFirstEvent(a.firstEventAt.Sub(a.startedAt), a.prefillTokens, a.member.Pace().MeasuredInterval(readAt))
 	}
 }
 
@@ -230,5 +230,5 @@
 	}
 	a.s.h.stats.lossyLinks.Inc(1)
 	a.s.h.log.Warn().Str("request", a.s.call.ID).Str("target", a.member.Target().ID()).Str("targetZone", zone).
-		Float64("stalls", a.s.h.links.Stalls(zone, readAt)).Msg("health: link to a zone loses packets")
+		Float64("stalls", a.s.h.links.StallWeight(zone, readAt)).Msg("health: link to a zone loses packets")
 }
--- a/ingress/stale_test.go
+++ b/ingress/stale_test.go
@@ -18,19 +18,21 @@
 // staleSender answers as another target in all zones except currentZone.
 type staleSender struct {
 	currentZone string
-	orders      int
+	attempts    int
 }
 
-func (s *staleSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	s.orders++
-	if o.Target.Zone() != s.currentZone {
-		return &Reply{Status: http.StatusMisdirectedRequest, Elsewhere: true, Header: http.Header{}, Body: body("")}, nil
+func (s *staleSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
+	s.attempts++
+	if r.Target.Zone() != s.currentZone {
+		return &Reply{Status: http.StatusMisdirectedRequest, WrongTarget: true, Header: http.Header{}, Body: body("")}, nil
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
 }
 
-// Probe fails.
-func (*staleSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// CheckConnection fails.
+func (*staleSender) CheckConnection(context.Context, *registry.Member) error {
+	return upstream.ErrNotSent
+}
 
 // An instance with stale entries for two zones sends at most one attempt to each of them,
 // even if their targets look less busy. Otherwise the stream could use up all its attempts
@@ -47,31 +49,33 @@
 	w, cut := serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 	assert.False(t, cut)
 	assert.Equal(t, http.StatusOK, w.Code)
-	assert.LessOrEqual(t, s.orders, 3)
+	assert.LessOrEqual(t, s.attempts, 3)
 }
 
 // refusingSender refuses connections in lostZone.
 type refusingSender struct {
 	lostZone string
-	orders   map[string]int // by zone
+	attempts map[string]int // by zone
 }
 
-func (s *refusingSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	s.orders[o.Target.Zone()]++
-	if o.Target.Zone() == s.lostZone {
+func (s *refusingSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
+	s.attempts[r.Target.Zone()]++
+	if r.Target.Zone() == s.lostZone {
 		return nil, upstream.ErrNotSent
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
 }
 
-// Probe fails.
-func (*refusingSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// CheckConnection fails.
+func (*refusingSender) CheckConnection(context.Context, *registry.Member) error {
+	return upstream.ErrNotSent
+}
 
 // In a zone outage an instance avoids the whole zone after two failures there, although it
 // has no evidence on the other targets of the zone. It uses the zone again when targets
 // have started there.
 func TestZoneOutageAvoided(t *testing.T) {
-	s := &refusingSender{lostZone: "a", orders: map[string]int{}}
+	s := &refusingSender{lostZone: "a", attempts: map[string]int{}}
 	h := newTestHandler(t, s, ragworthitch.CallStream)
 	for i := range 150 {
 		h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint("many-", i), Service: "llm",
@@ -86,14 +90,14 @@
 		}
 	}
 	serveCalls()
-	assert.LessOrEqual(t, s.orders["a"], 2)
+	assert.LessOrEqual(t, s.attempts["a"], 2)
 
 	s.lostZone = ""
 	for i := range 50 {
 		h.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: fmt.Sprint("new-", i), Service: "llm",
 			Address: fmt.Sprintf("127.0.0.3:%d", 1+i), Zone: "a", Slots: 8}), 0)
 	}
-	before := s.orders["a"]
+	before := s.attempts["a"]
 	serveCalls()
-	assert.Greater(t, s.orders["a"], before+5)
+	assert.Greater(t, s.attempts["a"], before+5)
 }
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/poison"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
@@ -48,9 +48,9 @@
 }
 
 func newStream(c *activeCall) *stream {
-	c.h.paces.Of(c.service()).Sent(c.call.Prompt)
+	c.h.paces.Of(c.service()).AddPrompt(c.call.Prompt)
 	s := &stream{activeCall: c, releaseReplica: func() {}}
-	if n, err := strconv.ParseInt(c.call.After, 10, 64); err == nil {
+	if n, err := strconv.ParseInt(c.call.ResumeOffset, 10, 64); err == nil {
 		s.lastID, s.totalEvents = n, int(n)
 	}
 	return s
@@ -86,11 +86,11 @@
 			return
 		}
 		s.recordFailedAttempt(a, err)
-		if verdict, ok := s.quarantined(); ok {
-			s.abortQuarantined(verdict, err)
+		if status, ok := s.quarantined(); ok {
+			s.abortQuarantined(status, err)
 			return
 		}
-		if s.mayHaveRun && !s.grant.Route.Idempotent() || !s.permitAttempt(ctx) || s.failedAttempts >= maxDials+s.grant.Route.MaxTargets() {
+		if s.mayHaveRun && !s.grant.Route.IsIdempotent() || !s.permitAttempt(ctx) || s.failedAttempts >= maxDials+s.grant.Route.MaxAttempts() {
 			s.abort(ctx, http.StatusBadGateway, "no further attempt possible", err)
 			return
 		}
@@ -101,7 +101,7 @@
 // attempt resumes from a replica there, otherwise nil.
 func (s *stream) nextTarget() (m, replicaTarget *registry.Member) {
 	now := clock.Now()
-	if target := s.replicaTarget(); target != nil && target.Takes(now) {
+	if target := s.replicaTarget(); target != nil && target.AcceptsCalls(now) {
 		return target, target
 	}
 	if m := s.pickEngine(now, nil, s.tried.list()...); m != nil {
@@ -150,9 +150,9 @@
 }
 
 // abortQuarantined ends a stream whose request was quarantined after the stream started.
-func (s *stream) abortQuarantined(verdict poison.Verdict, err error) {
+func (s *stream) abortQuarantined(status poison.Status, err error) {
 	if !s.headSent {
-		s.answerQuarantined(verdict)
+		s.answerQuarantined(status)
 		return
 	}
 	s.h.stats.abortedStreams.Inc(1)
@@ -173,31 +173,31 @@
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel() // closes the connection, so that the target stops its work
 	now := clock.Now()
-	o := &Order{Call: s.call, Target: member.Target(), Member: member, Org: s.grant.Org, Left: s.remaining(now), Rank: s.rank(member)}
+	r := &AttemptRequest{Call: s.call, Target: member.Target(), Member: member, Org: s.grant.Org, Remaining: s.remaining(now), Rank: s.rank(member)}
 	if s.lastID > 0 {
-		o.After = strconv.FormatInt(s.lastID, 10)
+		r.ResumeOffset = strconv.FormatInt(s.lastID, 10)
 	}
 	if replicaTarget != nil {
-		o.CopyAt = replicaTarget.Target().Address()
+		r.ReplicaAddress = replicaTarget.Target().Address()
 	}
 	prefillTokens := s.prefillTokens(member, replicaTarget)
-	s.placeReplica(member, o)
+	s.placeReplica(member, r)
 	prefillBacklog, begin := member.Work().All().Prefill, member.Work().Begin
-	if o.Rank == RankLast {
-		prefillBacklog, begin = prefillBacklog+member.Work().All().Later, member.Work().BeginLater
+	if r.Rank == RankLow {
+		prefillBacklog, begin = prefillBacklog+member.Work().All().YieldingPrefill, member.Work().BeginYielding
 	}
-	s.logAttempt(member, replicaTarget, o, prefillBacklog+prefillTokens)
+	s.logAttempt(member, replicaTarget, r, prefillBacklog+prefillTokens)
 	prefillDone, attemptDone := begin(prefillTokens, s.kvTokens())
-	s.h.cacheLocations.Note(recall.Place{Subject: s.call.Subject, Engine: member.Target().Boot()}, now)
+	s.h.cacheLocations.RecordOwn(cachelocation.Location{Subject: s.call.Subject, Engine: member.Target().Boot()}, now)
 	s.h.notifyPeers()
 	defer attemptDone()
-	s.h.rollouts.Sent(s.service(), member.Target().Version(), s.lane, s.attempts > 0)
+	s.h.rollouts.Sent(s.service(), member.Target().Version(), s.role, s.attempts > 0)
 	s.attempts++
-	a := &attempt{s: s, member: member, replicaTarget: replicaTarget, startedAt: now, sentWallTime: time.Now(), lastActivityAt: now, intervalObjective: s.intervalObjective(), rank: o.Rank, prefillTokens: prefillTokens, fromStart: s.lastID == 0 && replicaTarget == nil, prefillBacklog: prefillBacklog, prefillDone: prefillDone,
+	a := &attempt{s: s, member: member, replicaTarget: replicaTarget, startedAt: now, sentWallTime: time.Now(), lastActivityAt: now, intervalObjective: s.intervalObjective(), rank: r.Rank, prefillTokens: prefillTokens, fromStart: s.lastID == 0 && replicaTarget == nil, prefillBacklog: prefillBacklog, prefillDone: prefillDone,
 		results: make(chan readResult, eventQueueSize), connFailures: make(chan connFailure), sendResult: make(chan error, 1)}
 	p := s.pace()
-	a.expectedAtSend = p.First(prefillBacklog+prefillTokens, p.Gap)
-	go a.sendCatchingPanic(ctx, o)
+	a.expectedAtSend = p.TimeToFirstEvent(prefillBacklog+prefillTokens, p.EventInterval)
+	go a.sendCatchingPanic(ctx, r)
 	err := a.watch(ctx)
 	cancel()
 	failedAtTarget := !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, errPanic)
@@ -211,21 +211,21 @@
 
 // intervalObjective returns the longest event interval that callers expect.
 func (s *stream) intervalObjective() time.Duration {
-	if objective := s.grant.Route.GapTarget(); objective > 0 {
+	if objective := s.grant.Route.IntervalObjective(); objective > 0 {
 		return objective
 	}
 	return defaultIntervalObjective
 }
 
 // logAttempt logs the selection of a target.
-func (s *stream) logAttempt(m, replicaTarget *registry.Member, o *Order, prefillTokens int) {
+func (s *stream) logAttempt(m, replicaTarget *registry.Member, r *AttemptRequest, prefillTokens int) {
 	load, p := m.Work().All(), s.pace()
 	interval := s.activeCall.interval(m, p, clock.Now())
 	s.h.log.Info().Str("request", s.call.ID).Stringer("fingerprint", s.print).Str("route", s.grant.Route.Name()).Str("org", s.grant.Org).Int64("version", s.grant.Version).
 		Dur("proofAge", s.grant.Age).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Int("prefill", load.Prefill).Int("running", load.Running).
-		Int("tokens", load.Tokens).Bool("fromCopy", replicaTarget != nil).Str("copyTo", o.BackupAt).Int64("afterEvent", s.lastID).Int("prompt", s.call.Prompt).
-		Uint8("rank", uint8(o.Rank)).Dur("engineGap", interval).Dur("expected", p.First(prefillTokens, interval)).
-		Dur("left", o.Left).Msg("route: stream sent")
+		Int("tokens", load.Tokens).Bool("fromCopy", replicaTarget != nil).Str("copyTo", r.ReplicateTo).Int64("afterEvent", s.lastID).Int("prompt", s.call.Prompt).
+		Uint8("rank", uint8(r.Rank)).Dur("engineGap", interval).Dur("expected", p.TimeToFirstEvent(prefillTokens, interval)).
+		Dur("left", r.Remaining).Msg("route: stream sent")
 }
 
 // isNextID reports whether the event with this id follows the last one sent to the caller.
--- a/ingress/trouble.go
+++ b/ingress/trouble.go
@@ -29,23 +29,23 @@
 			z = &zoneEvidence{}
 			evidence[m.Target().Zone()] = z
 		}
-		if at, ok := m.Health().FailedLately(now); ok {
+		if at, ok := m.Health().FailedRecently(now); ok {
 			z.failed++
 			z.lastFailedAt = max(z.lastFailedAt, at)
 		}
 	}
 	for _, m := range ms {
 		z := evidence[m.Target().Zone()]
-		if _, failed := m.Health().FailedLately(now); failed || z.failed == 0 {
+		if _, failed := m.Health().FailedRecently(now); failed || z.failed == 0 {
 			continue
 		}
-		if m.Health().HeardLately(now) || m.AddedAt() > z.lastFailedAt {
+		if m.Health().ServedRecently(now) || m.AddedAt() > z.lastFailedAt {
 			z.serving++
 		}
 	}
 	out := make(map[string]float64, len(evidence))
 	for zone, z := range evidence {
-		lost := z.failed + c.h.targets.Stale(c.service(), zone, now)
+		lost := z.failed + c.h.targets.StaleRegistrations(c.service(), zone, now)
 		if lost > 0 {
 			out[zone] = float64(lost) / float64(lost+z.serving+assumedServing)
 		}
