--- a/ingress/version.go
+++ b/ingress/version.go
@@ -29,18 +29,18 @@
 
 // placement returns the versions that the call may be sent to now.
 func (c *activeCall) placement(now clock.Time) rollout.Placement {
-	return c.h.rollouts.Place(c.service(), c.lane, now)
+	return c.h.rollouts.Place(c.service(), c.role, now)
 }
 
 // pickByPlacement selects a target with pick among those of the version that the placement
 // selects or, if pick finds none there, among those that the placement allows as spare.
 func (c *activeCall) pickByPlacement(now clock.Time, p rollout.Placement, pick func([]*registry.Member) *registry.Member) *registry.Member {
 	ms := c.h.targets.Service(c.service())
-	if !p.Bound() {
+	if !p.IsRestricted() {
 		return pick(ms)
 	}
-	selected := targetsFor(ms, p, rollout.Preferred)
-	if p.OnTrial() {
+	selected := targetsFor(ms, p, rollout.Selected)
+	if p.IsCanary() {
 		selected = canaryTargets(selected, now)
 	}
 	if m := pick(selected); m != nil {
@@ -64,7 +64,7 @@
 // first available ones in an order by hash, which is the same at all instances.
 func canaryTargets(ms []*registry.Member, now clock.Time) []*registry.Member {
 	n := max(minCanaryTargets, int(canaryTargetShare*float64(len(ms))))
-	ms = slices.DeleteFunc(slices.Clone(ms), func(m *registry.Member) bool { return !m.Takes(now) })
+	ms = slices.DeleteFunc(slices.Clone(ms), func(m *registry.Member) bool { return !m.AcceptsCalls(now) })
 	key := route.Key("trial")
 	slices.SortFunc(ms, func(a, b *registry.Member) int {
 		return cmp.Compare(route.Affinity(key, a.Target().Address()), route.Affinity(key, b.Target().Address()))
@@ -74,23 +74,23 @@
 
 // recordSymptom records a symptom, or its absence, for the version of a target.
 func (c *activeCall) recordSymptom(m *registry.Member, symptom rollout.Symptom, bad bool) {
-	if !c.h.rollouts.InForce() {
+	if !c.h.rollouts.Active() {
 		return
 	}
 	t := m.Target()
-	if c.h.rollouts.Fresh(c.service(), t.Version()) {
+	if c.h.rollouts.IsNewVersion(c.service(), t.Version()) {
 		c.h.stats.canaryAnswers.Inc(1)
 		if bad {
 			c.h.stats.badCanaryAnswers.Inc(1)
 		}
 	}
-	c.h.rollouts.Saw(rollout.Answer{Service: c.service(), Route: c.grant.Route.Name(), Target: t.ID(), Version: t.Version(), Symptom: symptom, Bad: bad})
+	c.h.rollouts.RecordAnswer(rollout.Answer{Service: c.service(), Route: c.grant.Route.Name(), Target: t.ID(), Version: t.Version(), Symptom: symptom, Bad: bad})
 }
 
 // recordBrokenAnswer records an answer that broke off as a failure of the target's
 // version, unless the target was lost after startedAt.
 func (c *activeCall) recordBrokenAnswer(m *registry.Member, startedAt clock.Time) {
-	if c.h.rollouts.InForce() && !confirmLost(m, startedAt) {
+	if c.h.rollouts.Active() && !confirmLost(m, startedAt) {
 		c.recordSymptom(m, rollout.Failing, true)
 	}
 }
@@ -112,7 +112,7 @@
 
 // recordSpeed records what the first events of an attempt say about its target's version.
 func (a *attempt) recordSpeed() {
-	if a.speedRecorded || !a.fromStart || a.events < speedSampleEvents || a.decodeIntervals.count < minDecodeIntervals || !a.s.h.rollouts.InForce() {
+	if a.speedRecorded || !a.fromStart || a.events < speedSampleEvents || a.decodeIntervals.count < minDecodeIntervals || !a.s.h.rollouts.Active() {
 		return
 	}
 	a.speedRecorded = true
@@ -121,15 +121,15 @@
 	if a.expectedAtSend > 0 {
 		firstEventRatio = float64(a.firstEventAt.Sub(a.startedAt)) / float64(a.expectedAtSend)
 	}
-	if usual := a.s.h.paces.Of(a.s.service()).Gap(); usual > 0 {
+	if usual := a.s.h.paces.Of(a.s.service()).EventInterval(); usual > 0 {
 		intervalRatio = float64(a.decodeIntervals.shortest) / float64(usual)
 	}
-	a.s.recordSymptom(a.member, rollout.Slow, rollout.IsSlow(intervalRatio) || rollout.IsSlowStart(firstEventRatio))
+	a.s.recordSymptom(a.member, rollout.Slow, rollout.IsSlow(intervalRatio) || rollout.IsSlowFirstEvent(firstEventRatio))
 }
 
 // recordAttemptEnd records what the end of an attempt says about its target's version.
 func (s *stream) recordAttemptEnd(ctx context.Context, a *attempt, err error) {
-	if err == nil || ctx.Err() != nil || a.failureRecorded || !s.h.rollouts.InForce() {
+	if err == nil || ctx.Err() != nil || a.failureRecorded || !s.h.rollouts.Active() {
 		return
 	}
 	switch {
@@ -147,7 +147,7 @@
 // recordPlainSymptoms records what an attempt of a plain call says about its target's
 // version.
 func (c *activeCall) recordPlainSymptoms(result attemptResult, startedAt clock.Time, took time.Duration) {
-	if !c.h.rollouts.InForce() {
+	if !c.h.rollouts.Active() {
 		return
 	}
 	if result.err != nil {
@@ -156,7 +156,7 @@
 	}
 	c.recordSymptom(result.member, rollout.Failing, result.reply.isFailure())
 	if !result.reply.isFailure() {
-		ratio := c.h.rollouts.Times(c.service(), c.grant.Route.Name(), result.member.Target().Version(), took)
+		ratio := c.h.rollouts.RelativeTime(c.service(), c.grant.Route.Name(), result.member.Target().Version(), took)
 		c.recordSymptom(result.member, rollout.Slow, rollout.IsSlow(ratio))
 	}
 }
--- a/ingress/version_test.go
+++ b/ingress/version_test.go
@@ -20,20 +20,22 @@
 // connections.
 type versionSender struct {
 	lostVersion string
-	orders      map[string]int
+	attempts    map[string]int
 }
 
-func (s *versionSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	v := o.Target.Version()
+func (s *versionSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
+	v := r.Target.Version()
 	if v == s.lostVersion {
 		return nil, fmt.Errorf("%w: refused", upstream.ErrNotSent)
 	}
-	s.orders[v]++
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
+	s.attempts[v]++
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
 }
 
-// Probe fails.
-func (*versionSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// CheckConnection fails.
+func (*versionSender) CheckConnection(context.Context, *registry.Member) error {
+	return upstream.ErrNotSent
+}
 
 // versionHandler returns a handler with as many old as new targets and a roll-out in the
 // given state.
@@ -68,13 +70,13 @@
 	}
 	for _, tt := range tests {
 		bubble(t, fmt.Sprintf("%v, version %q lost", tt.state, tt.lostVersion), func(t *testing.T) {
-			s := &versionSender{lostVersion: tt.lostVersion, orders: map[string]int{}}
+			s := &versionSender{lostVersion: tt.lostVersion, attempts: map[string]int{}}
 			h := versionHandler(t, s, tt.state)
 			for n := range calls {
 				serve(h, &Call{ID: fmt.Sprint(n), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			}
-			assert.GreaterOrEqual(t, s.orders["v2"], tt.minOrders)
-			assert.LessOrEqual(t, s.orders["v2"], tt.maxOrders)
+			assert.GreaterOrEqual(t, s.attempts["v2"], tt.minOrders)
+			assert.LessOrEqual(t, s.attempts["v2"], tt.maxOrders)
 		})
 	}
 }
@@ -83,9 +85,9 @@
 // events.
 type slowSender struct{ newInterval time.Duration }
 
-func (s *slowSender) Send(ctx context.Context, o *Order) (*Reply, error) {
+func (s *slowSender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
 	interval := 40 * time.Millisecond
-	if o.Target.Version() == "v2" {
+	if r.Target.Version() == "v2" {
 		interval = s.newInterval
 	}
 	events := func(emit func(Event) bool) error {
@@ -97,11 +99,11 @@
 		}
 		return nil
 	}
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// Probe succeeds.
-func (*slowSender) Probe(context.Context, *registry.Member) error { return nil }
+// CheckConnection succeeds.
+func (*slowSender) CheckConnection(context.Context, *registry.Member) error { return nil }
 
 // A new version that generates events four times slower is rolled back; one as fast as the
 // old version is promoted.
@@ -118,10 +120,12 @@
 		bubble(t, tt.name, func(t *testing.T) {
 			h := versionHandler(t, &versionSender{}, rollout.None)
 			h.sender = &slowSender{newInterval: tt.newInterval}
-			h.rollouts.Read()
+			h.rollouts.MarkStatusesRead()
 			h.rollouts.Status(rollout.Status{Order: 4, Service: "llm", To: "v2", State: rollout.Running, Row: 6})
 			got := rollout.Running
-			observe := func(string, string) rollout.Sight { return rollout.Sight{Old: 6, New: 6, NewReady: 6, OldWork: 1} }
+			observe := func(string, string) rollout.TargetCounts {
+				return rollout.TargetCounts{Old: 6, New: 6, NewReady: 6, OldLoad: 1}
+			}
 			for n := 0; got == rollout.Running && n < 2000; n++ {
 				serve(h, &Call{ID: fmt.Sprint(n), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 				for _, c := range h.rollouts.Decide(clock.Now(), 0, observe) {
--- a/ingress/yield_test.go
+++ b/ingress/yield_test.go
@@ -17,20 +17,22 @@
 
 // recordingSender records the last order and its target's load when the order arrives.
 type recordingSender struct {
-	order *Order
-	load  registry.Load
+	attempt *AttemptRequest
+	load    registry.Load
 }
 
-func (s *recordingSender) Send(_ context.Context, o *Order) (*Reply, error) {
-	s.order, s.load = o, o.Member.Work().Own()
-	return &Reply{Status: http.StatusOK, Sized: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
+func (s *recordingSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
+	s.attempt, s.load = r, r.Member.Work().Own()
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("id: 1\ndata: a\n\n")}, nil
 }
 
-// Probe fails.
-func (*recordingSender) Probe(context.Context, *registry.Member) error { return upstream.ErrNotSent }
+// CheckConnection fails.
+func (*recordingSender) CheckConnection(context.Context, *registry.Member) error {
+	return upstream.ErrNotSent
+}
 
 // testPace is the pace of engines that prefill 5 tokens per ms.
-var testPace = pace.Pace{Gap: 29 * time.Millisecond, Ratio: 1.0 / (5 * 29), Prompt: 5000, Whole: 33 * time.Millisecond, Length: 0.7}
+var testPace = pace.Pace{EventInterval: 29 * time.Millisecond, PrefillRatio: 1.0 / (5 * 29), Prompt: 5000, LoadedInterval: 33 * time.Millisecond, UsualAnswer: 0.7}
 
 // Under overload a stream that no engine can start within its objective gets RankLast, and
 // its prefill does not count against calls that can still be in time.
@@ -40,8 +42,8 @@
 		backlog int
 		rank    Rank
 	}{
-		{"no backlog", 0, RankUsual},
-		{"a backlog of one second at every engine", 5000, RankLast},
+		{"no backlog", 0, RankNormal},
+		{"a backlog of one second at every engine", 5000, RankLow},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -49,13 +51,13 @@
 			h := newTestHandler(t, s, ragworthitch.CallStream)
 			h.fixedPace = &testPace
 			for _, m := range h.targets.Service("llm") {
-				m.Work().SetOther("another", registry.Load{Prefill: tt.backlog})
+				m.Work().SetPeer("another", registry.Load{Prefill: tt.backlog})
 			}
-			serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 4000, Output: 100, Received: clock.Now()})
-			assert.Equal(t, tt.rank, s.order.Rank)
-			assert.Equal(t, tt.rank == RankLast, s.load.Prefill == 0)
-			assert.Equal(t, tt.rank == RankLast, s.load.Later == 4000)
-			assert.True(t, s.load.Reads())
+			serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 4000, MaxTokens: 100, Received: clock.Now()})
+			assert.Equal(t, tt.rank, s.attempt.Rank)
+			assert.Equal(t, tt.rank == RankLow, s.load.Prefill == 0)
+			assert.Equal(t, tt.rank == RankLow, s.load.YieldingPrefill == 4000)
+			assert.True(t, s.load.Prefilling())
 		})
 	}
 }
@@ -70,10 +72,10 @@
 		s := &recordingSender{}
 		h := newTestHandler(t, s, ragworthitch.CallStream)
 		for _, m := range h.targets.Service("llm") {
-			m.Work().SetOther("another", registry.Load{Tokens: tt.usedTokens})
+			m.Work().SetPeer("another", registry.Load{Tokens: tt.usedTokens})
 		}
-		serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 4000, Output: 100, Received: clock.Now()})
-		assert.Equal(t, tt.replicated, s.order.BackupAt != "", "%d tokens used", tt.usedTokens)
+		serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 4000, MaxTokens: 100, Received: clock.Now()})
+		assert.Equal(t, tt.replicated, s.attempt.ReplicateTo != "", "%d tokens used", tt.usedTokens)
 	}
 }
 
@@ -88,9 +90,9 @@
 		if m.Target().ID() == "i-3" {
 			load = registry.Load{Running: 10}
 		}
-		m.Work().SetOther("another", load)
+		m.Work().SetPeer("another", load)
 	}
-	serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 4000, Output: 100, Received: clock.Now()})
-	assert.Equal(t, "i-3", s.order.Target.ID())
-	assert.Equal(t, RankUsual, s.order.Rank)
+	serve(h, &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 4000, MaxTokens: 100, Received: clock.Now()})
+	assert.Equal(t, "i-3", s.attempt.Target.ID())
+	assert.Equal(t, RankNormal, s.attempt.Rank)
 }
--- a/instance/crashes.go
+++ b/instance/crashes.go
@@ -25,7 +25,7 @@
 	cleanup := time.NewTicker(crashCleanupInterval)
 	defer cleanup.Stop()
 	for ctx.Err() == nil {
-		edits, more := i.crashes.Take()
+		edits, more := i.crashes.TakeEdits()
 		if n := batchSize(edits); n > 0 {
 			i.writeCrashEdits(ctx, edits, n)
 			continue
@@ -33,7 +33,7 @@
 		select {
 		case <-more:
 		case <-cleanup.C:
-			i.crashes.Forget(clock.Now())
+			i.crashes.Expire(clock.Now())
 		case <-ctx.Done():
 		}
 	}
@@ -55,24 +55,24 @@
 func (i *Instance) writeCrashEdits(ctx context.Context, edits []poison.Edit, n int) {
 	writeCtx, cancel := context.WithTimeout(ctx, crashWriteTimeout)
 	defer cancel()
-	err := platform.CrashKeeper{Store: i.store}.Make(writeCtx, edits[:n])
+	err := platform.CrashWriter{Store: i.store}.Apply(writeCtx, edits[:n])
 	if err == nil {
-		i.crashes.Return(edits[n:])
+		i.crashes.RequeueEdits(edits[n:])
 		return
 	}
 	i.log.Warn().Err(err).Int("edits", n).Msg("instance: crash records not written; will retry")
-	i.crashes.Return(edits)
+	i.crashes.RequeueEdits(edits)
 	clock.Sleep(ctx, crashRetryDelay)
 }
 
 // claimProbe claims the probe of a quarantined request. It returns false if another
 // instance has claimed it or the store cannot be reached.
-func (i *Instance) claimProbe(ctx context.Context, probe poison.Trial) bool {
+func (i *Instance) claimProbe(ctx context.Context, probe poison.Probe) bool {
 	ctx, cancel := context.WithTimeout(ctx, crashWriteTimeout)
 	defer cancel()
-	row, err := platform.CrashKeeper{Store: i.store}.Claim(ctx, probe)
+	row, err := platform.CrashWriter{Store: i.store}.ClaimProbe(ctx, probe)
 	if err != nil {
-		i.log.Info().Stringer("fingerprint", probe.Print).Int("trial", probe.Count).AnErr("cause", err).Msg("instance: probe not claimed")
+		i.log.Info().Stringer("fingerprint", probe.Fingerprint).Int("trial", probe.Count).AnErr("cause", err).Msg("instance: probe not claimed")
 		return false
 	}
 	return i.crashes.Claim(probe, row, clock.Now())
--- a/instance/follow.go
+++ b/instance/follow.go
@@ -62,68 +62,68 @@
 // relayWait returns how long a call waits for changes if this instance reads the store
 // for its peers.
 func (i *Instance) relayWait() time.Duration {
-	bounds := i.boot.Bounds()
+	bounds := i.s.Bounds()
 	return min(max(minRelayWait, scale(relayWaitFraction, min(bounds.Config, bounds.Drain))), maxRelayWait)
 }
 
 func (i *Instance) desiredWait() time.Duration {
-	return min(maxDesiredWait, scale(desiredWaitFraction, i.boot.Bounds().Revoke))
+	return min(maxDesiredWait, scale(desiredWaitFraction, i.s.Bounds().Revoke))
 }
 
-func (i *Instance) isDraining() bool { return i.handler.Leaving() }
+func (i *Instance) isDraining() bool { return i.handler.Draining() }
 
 // reachablePeers returns the peers that this instance can read tables from.
 func (i *Instance) reachablePeers() []exchange.Peer {
-	if i.boot.Internal() == "" {
+	if i.s.Internal() == "" {
 		return nil // peers connect only through internal addresses
 	}
-	return i.peers.Known()
+	return i.peers.Peers()
 }
 
 // followTables starts the followers of the operator's, the targets' and the instances'
 // tables.
 func (i *Instance) followTables(p *pool.ContextPool) {
-	peerChoice := relay.NewChoice(i.boot.Node(), i.boot.Zone(), i.reachablePeers)
-	storeReader := func(table string) relay.Direct {
-		return relay.Direct{Store: i.store, Cache: i.relay.Tables[table]}
+	peerSelector := relay.NewPeerSelector(i.s.Node(), i.s.Zone(), i.reachablePeers)
+	storeReader := func(table string) relay.StoreReader {
+		return relay.StoreReader{Store: i.store, Cache: i.relay.Tables[table]}
 	}
-	newAsker := func(table string, needsAge bool) *relay.Asker {
-		return &relay.Asker{Table: table, Proof: needsAge, Choice: peerChoice, Cache: i.relay.Tables[table], Dial: dialTable, Log: i.log}
+	newAsker := func(table string, needsAge bool) *relay.PeerReader {
+		return &relay.PeerReader{Table: table, WantsAsOf: needsAge, Selector: peerSelector, Cache: i.relay.Tables[table], Dial: dialTable, Log: i.log}
 	}
 
-	operatorAsker := newAsker(platform.TableOperator, true)
-	operatorAsker.Notes = &i.locations
+	operatorReader := newAsker(platform.TableOperator, true)
+	operatorReader.Locations = &i.locations
 	p.Go((&discovery.Follower[discovery.OperatorRow]{Name: platform.TableOperator, Log: i.log,
-		Source: platform.OperatorTable{Reader: storeReader(platform.TableOperator), Unreadable: i.unreadable},
-		Relay:  relayedTable[discovery.OperatorRow]{platform.OperatorTable{Reader: operatorAsker, Unreadable: i.unreadable}, operatorAsker},
-		Sink:   discovery.OperatorSink{Desired: i.desired, Rollouts: &i.rollouts, Log: i.log},
-		Wait:   i.desiredWait(), Reread: desiredRereadInterval, Recovery: &i.recovery, Backoff: peerChoice.Backoff}).Run)
+		Source:  platform.OperatorTable{Reader: storeReader(platform.TableOperator), Unreadable: i.unreadable},
+		Relay:   relayedTable[discovery.OperatorRow]{platform.OperatorTable{Reader: operatorReader, Unreadable: i.unreadable}, operatorReader},
+		Sink:    discovery.OperatorSink{Desired: i.desired, Rollouts: &i.rollouts, Log: i.log},
+		MaxWait: i.desiredWait(), RereadInterval: desiredRereadInterval, Recovery: &i.recovery, MaxBackoff: peerSelector.Backoff}).Run)
 
-	targetAsker := newAsker(platform.TableTargets, false)
+	targetReader := newAsker(platform.TableTargets, false)
 	targetSink := discovery.NewTargetSink(&i.targets, i.desired, i.log, func() { i.targetsRead.Store(true) })
 	targetSink.Rollouts = &i.rollouts
-	p.Go((&discovery.Follower[discovery.Entry]{Name: platform.TableTargets, Log: i.log,
-		Source: platform.TargetTable{Reader: storeReader(platform.TableTargets), Unreadable: i.unreadable},
-		Relay:  relayedTable[discovery.Entry]{platform.TargetTable{Reader: targetAsker, Unreadable: i.unreadable}, targetAsker},
-		Sink:   targetSink,
-		Wait:   targetWait, Gap: targetPollInterval, Reread: targetRereadInterval, Recovery: &i.recovery, AwaitsRecovery: true, Backoff: peerChoice.Backoff}).Run)
+	p.Go((&discovery.Follower[discovery.TargetRow]{Name: platform.TableTargets, Log: i.log,
+		Source:  platform.TargetTable{Reader: storeReader(platform.TableTargets), Unreadable: i.unreadable},
+		Relay:   relayedTable[discovery.TargetRow]{platform.TargetTable{Reader: targetReader, Unreadable: i.unreadable}, targetReader},
+		Sink:    targetSink,
+		MaxWait: targetWait, MinInterval: targetPollInterval, RereadInterval: targetRereadInterval, Recovery: &i.recovery, AwaitsRecovery: true, MaxBackoff: peerSelector.Backoff}).Run)
 
-	instanceAsker := newAsker(platform.TableInstances, false)
+	instanceReader := newAsker(platform.TableInstances, false)
 	p.Go((&discovery.Follower[discovery.InstanceRow]{Name: platform.TableInstances, Log: i.log,
-		Source: platform.InstanceTable{Reader: storeReader(platform.TableInstances), Unreadable: i.unreadable},
-		Relay:  relayedTable[discovery.InstanceRow]{platform.InstanceTable{Reader: instanceAsker, Unreadable: i.unreadable}, instanceAsker},
-		Sink:   discovery.InstanceSink{Exchange: i.peers, Crashes: &i.crashes, Rollouts: &i.rollouts, OnRead: func() { i.instancesRead.Store(true) }},
-		Wait:   peerWait, Gap: peerPollInterval, Recovery: &i.recovery, AwaitsRecovery: true, Backoff: peerChoice.Backoff}).Run)
+		Source:  platform.InstanceTable{Reader: storeReader(platform.TableInstances), Unreadable: i.unreadable},
+		Relay:   relayedTable[discovery.InstanceRow]{platform.InstanceTable{Reader: instanceReader, Unreadable: i.unreadable}, instanceReader},
+		Sink:    discovery.InstanceSink{Exchange: i.peers, Crashes: &i.crashes, Rollouts: &i.rollouts, OnRead: func() { i.instancesRead.Store(true) }},
+		MaxWait: peerWait, MinInterval: peerPollInterval, Recovery: &i.recovery, AwaitsRecovery: true, MaxBackoff: peerSelector.Backoff}).Run)
 }
 
 // relayedTable is a table that is read from peers.
 type relayedTable[T any] struct {
 	discovery.Source[T]
-	asker *relay.Asker
+	reader *relay.PeerReader
 }
 
-// Use reports whether the next call should go to a peer.
-func (a relayedTable[T]) Use() bool { return a.asker.Use() }
+// ShouldAsk reports whether the next call should go to a peer.
+func (a relayedTable[T]) ShouldAsk() bool { return a.reader.ShouldAsk() }
 
 func dialTable(ctx context.Context, addr string) (relay.Conn, error) {
 	return wire.DialTable(ctx, addr)
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -21,6 +21,7 @@
 	"github.com/ragworthitch/ragworthitch"
 	"github.com/ragworthitch/ragworthitch/admit"
 	"github.com/ragworthitch/ragworthitch/budget"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/desired"
 	"github.com/ragworthitch/ragworthitch/discovery"
@@ -29,7 +30,6 @@
 	"github.com/ragworthitch/ragworthitch/lend"
 	"github.com/ragworthitch/ragworthitch/platform"
 	"github.com/ragworthitch/ragworthitch/poison"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/registry"
 	"github.com/ragworthitch/ragworthitch/relay"
 	"github.com/ragworthitch/ragworthitch/rollout"
@@ -71,50 +71,50 @@
 
 // Instance is an entry instance. Make one with New.
 type Instance struct {
-	boot          platform.Boot
-	log           zerolog.Logger
-	store         *platform.Store
-	desired       *desired.Book
-	targets       registry.Registry
-	recall        recall.Recall
-	handler       *ingress.Handler
-	peers         *exchange.Exchange
-	frontServer   *http.Server
-	metrics       http.Handler
-	unreadable    *platform.Unreadable
-	recovery      discovery.RecoverySignal
-	relay         *relay.Server
-	budget        *budget.Budget
-	locations     locationBuffer
-	crashes       poison.Book
-	rollouts      rollout.Book
-	startedAt     clock.Time
-	bodyMemory    *admit.Memory
-	targetsRead   atomic.Bool // the table of targets has been read
-	instancesRead atomic.Bool // the table of instances, with crash records, has been read
+	s              platform.Settings
+	log            zerolog.Logger
+	store          *platform.Store
+	desired        *desired.Tracker
+	targets        registry.Registry
+	cacheLocations cachelocation.Table
+	handler        *ingress.Handler
+	peers          *exchange.Exchange
+	frontServer    *http.Server
+	metrics        http.Handler
+	unreadable     *platform.UnreadableRows
+	recovery       discovery.RecoverySignal
+	relay          *relay.Server
+	budget         *budget.Budget
+	locations      locationBuffer
+	crashes        poison.Tracker
+	rollouts       rollout.Tracker
+	startedAt      clock.Time
+	bodyMemory     *admit.Memory
+	targetsRead    atomic.Bool // the table of targets has been read
+	instancesRead  atomic.Bool // the table of instances, with crash records, has been read
 }
 
 // New returns an instance with the platform's settings. metrics is served on
 // the internal address; nil: not at all.
-func New(boot platform.Boot, log zerolog.Logger, scope tally.Scope, metrics http.Handler) *Instance {
-	if boot.Memory() > 0 {
-		debug.SetMemoryLimit(int64(heapFraction * float64(boot.Memory())))
+func New(s platform.Settings, log zerolog.Logger, scope tally.Scope, metrics http.Handler) *Instance {
+	if s.Memory() > 0 {
+		debug.SetMemoryLimit(int64(heapFraction * float64(s.Memory())))
 	}
-	bounds := boot.Bounds()
-	i := &Instance{startedAt: clock.Now(), boot: boot, log: log, store: platform.NewStore(boot.Store()), metrics: metrics, unreadable: platform.NewUnreadable(log, scope),
-		desired: desired.NewBook(desired.Ages{Deny: scale(denyAgeFraction, bounds.Config), Key: scale(keyAgeFraction, bounds.Revoke)})}
-	i.bodyMemory = admit.NewMemory(int64(bodyFraction * float64(boot.Memory())))
+	bounds := s.Bounds()
+	i := &Instance{startedAt: clock.Now(), s: s, log: log, store: platform.NewStore(s.Store()), metrics: metrics, unreadable: platform.NewUnreadableRows(log, scope),
+		desired: desired.NewTracker(desired.Ages{Reject: scale(denyAgeFraction, bounds.Config), Key: scale(keyAgeFraction, bounds.Revoke)})}
+	i.bodyMemory = admit.NewMemory(int64(bodyFraction * float64(s.Memory())))
 	i.crashes.Log, i.crashes.Scope = log, scope
-	i.rollouts.Log, i.rollouts.Share = log, bounds.TrialShare
-	i.rollouts.Slack, i.rollouts.Instances = bounds.TrialSlack, i.instanceCount
-	i.rollouts.Self = rollout.Writer{Node: boot.Node(), Started: time.Now().UnixMilli()}
-	i.peers = exchange.New(boot.Node(), boot.Zone(), &i.targets, &i.recall, &i.crashes, log)
-	i.locations.recall = &i.recall
-	i.relay = &relay.Server{Tables: i.caches(), Leaving: i.isDraining, Keep: i.locations.addFromPeer, Log: log}
-	i.budget = budget.New(budget.Limit{Ratio: bounds.BudgetRatio, Extra: bounds.BudgetExtra, Span: bounds.BudgetSpan}, i.peers.Entries)
-	borrower := &lend.Borrower{Zone: boot.Zone(), Peers: i.peers.Known, Budget: i.budget, Log: log}
-	i.handler = ingress.New(ingress.Config{Zone: boot.Zone(), Book: i.desired, Targets: &i.targets, Recall: &i.recall, Budget: i.budget, Borrow: borrower.Borrow,
-		Sender: platform.Sender{}, Ready: i.Ready, Tell: i.peers.Tell, Crashes: &i.crashes, Rollouts: &i.rollouts, Claim: i.claimProbe, Log: log, Scope: scope})
+	i.rollouts.Log, i.rollouts.Share = log, bounds.CanaryShare
+	i.rollouts.Slack, i.rollouts.Instances = bounds.CanarySlack, i.instanceCount
+	i.rollouts.Self = rollout.Writer{Node: s.Node(), Started: time.Now().UnixMilli()}
+	i.peers = exchange.New(s.Node(), s.Zone(), &i.targets, &i.cacheLocations, &i.crashes, log)
+	i.locations.cacheLocations = &i.cacheLocations
+	i.relay = &relay.Server{Tables: i.caches(), Draining: i.isDraining, SaveLocations: i.locations.addFromPeer, Log: log}
+	i.budget = budget.New(budget.Limit{Ratio: bounds.BudgetRatio, Extra: bounds.BudgetExtra, Window: bounds.BudgetWindow}, i.peers.InstanceCount)
+	borrower := &lend.Borrower{Zone: s.Zone(), Peers: i.peers.Peers, Budget: i.budget, Log: log}
+	i.handler = ingress.New(ingress.Config{Zone: s.Zone(), DesiredState: i.desired, Targets: &i.targets, CacheLocations: &i.cacheLocations, RetryBudget: i.budget, BorrowRetries: borrower.Borrow,
+		Sender: platform.Sender{}, Ready: i.Ready, NotifyPeers: i.peers.SendNow, PoisonTracker: &i.crashes, Rollouts: &i.rollouts, ClaimProbe: i.claimProbe, Log: log, Scope: scope})
 	return i
 }
 
@@ -125,17 +125,17 @@
 // Ready reports whether the load balancer should send calls to this instance.
 func (i *Instance) Ready() bool {
 	age, ok := i.desired.Age(clock.Now())
-	return ok && age <= scale(readyAgeFraction, i.boot.Bounds().Revoke) && i.targetsRead.Load() && i.instancesRead.Load() && !i.handler.Leaving()
+	return ok && age <= scale(readyAgeFraction, i.s.Bounds().Revoke) && i.targetsRead.Load() && i.instancesRead.Load() && !i.handler.Draining()
 }
 
 // Run serves until ctx ends, then drains: it returns when the calls in progress
 // have ended or the grace period is nearly over.
 func (i *Instance) Run(ctx context.Context) error {
-	front, err := listen("front", i.boot.Front())
+	front, err := listen("front", i.s.CallerAddr())
 	if err != nil {
 		return err
 	}
-	ready, err := listen("ready", i.boot.Ready())
+	ready, err := listen("ready", i.s.ReadinessAddr())
 	if err != nil {
 		front.Close()
 		return err
@@ -147,7 +147,7 @@
 	p.Go(i.persistLocations)
 	p.Go(i.persistCrashes)
 	p.Go(i.runRollouts)
-	i.frontServer = i.serve(p, front, &platform.Front{Handler: i.handler, Limits: i.limits, Memory: i.bodyMemory, Log: i.log})
+	i.frontServer = i.serve(p, front, &platform.CallHandler{Handler: i.handler, Limits: i.limits, Memory: i.bodyMemory, Log: i.log})
 	i.serve(p, ready, platform.Ready(i.Ready))
 	i.serveInternal(p)
 	p.Go(func(lifetime context.Context) error {
@@ -159,8 +159,8 @@
 		}
 		return nil
 	})
-	i.log.Info().Str("front", i.boot.Front()).Str("ready", i.boot.Ready()).Str("store", i.boot.Store()).
-		Str("internal", i.boot.Internal()).Msg("instance: started")
+	i.log.Info().Str("front", i.s.CallerAddr()).Str("ready", i.s.ReadinessAddr()).Str("store", i.s.Store()).
+		Str("internal", i.s.Internal()).Msg("instance: started")
 	if err := p.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
@@ -200,10 +200,10 @@
 
 // serveInternal serves metrics and connections of peers.
 func (i *Instance) serveInternal(p *pool.ContextPool) {
-	if i.boot.Internal() == "" {
+	if i.s.Internal() == "" {
 		return
 	}
-	ln, err := listen("other instances", i.boot.Internal())
+	ln, err := listen("other instances", i.s.Internal())
 	if err != nil {
 		i.log.Warn().Err(err).Msg("instance: cannot listen on the internal address; metrics and peers are not served")
 		return
@@ -222,7 +222,7 @@
 
 // announce writes this instance's entry to the store.
 func (i *Instance) announce(ctx context.Context) error {
-	self := exchange.Peer{Node: i.boot.Node(), Zone: i.boot.Zone(), Addr: i.boot.Internal()}
+	self := exchange.Peer{Node: i.s.Node(), Zone: i.s.Zone(), Addr: i.s.Internal()}
 	for ctx.Err() == nil {
 		writeCtx, cancel := context.WithTimeout(ctx, announceTimeout)
 		err := platform.Announce(writeCtx, i.store, self)
@@ -241,8 +241,8 @@
 // callers can resume at other instances.
 func (i *Instance) drain(lifetime context.Context) {
 	start := clock.Now()
-	grace := i.boot.Bounds().Grace
-	i.handler.Leave(start.Add(grace - drainMargin))
+	grace := i.s.Bounds().Grace
+	i.handler.Drain(start.Add(grace - drainMargin))
 	i.log.Info().Int("active", i.handler.Active()).Dur("grace", grace).Msg("instance: draining")
 	if !clock.Sleep(lifetime, drainAcceptPeriod) {
 		return
--- a/instance/locations.go
+++ b/instance/locations.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
 	"github.com/ragworthitch/ragworthitch/platform"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
@@ -25,10 +25,10 @@
 
 // locationBuffer holds the cache locations that this instance has to write to the
 // store: its own, unless a peer takes these over, and those that peers hand over. It
-// implements relay.Notes.
+// implements relay.LocationQueue.
 type locationBuffer struct {
-	recall *recall.Recall
-	spans  recall.Spans
+	cacheLocations *cachelocation.Table
+	spans          cachelocation.Spans
 
 	mu             sync.Mutex
 	assigned       uint64     // number of own locations that this instance or a peer has undertaken to write
@@ -36,37 +36,37 @@
 	peerReceivedAt clock.Time // when a peer last handed locations over
 }
 
-// Fresh returns the own locations that nobody writes yet, and the number of all own
+// Unsent returns the own locations that nobody writes yet, and the number of all own
 // locations so far.
-func (b *locationBuffer) Fresh() ([]wire.Place, uint64) {
+func (b *locationBuffer) Unsent() ([]wire.CacheLocation, uint64) {
 	b.mu.Lock()
 	assigned := b.assigned
 	b.mu.Unlock()
-	fresh, total := b.recall.Since(assigned)
-	out := make([]wire.Place, 0, len(fresh))
-	for _, p := range fresh {
-		out = append(out, wire.Place{Subject: p.Subject, Engine: p.Engine})
+	fresh, total := b.cacheLocations.RecordedSince(assigned)
+	out := make([]wire.CacheLocation, 0, len(fresh))
+	for _, l := range fresh {
+		out = append(out, wire.CacheLocation{Subject: l.Subject, Engine: l.Engine})
 	}
 	return out, total
 }
 
-// Taken records that a peer writes the first total own locations.
-func (b *locationBuffer) Taken(total uint64) {
+// MarkSent records that a peer writes the first total own locations.
+func (b *locationBuffer) MarkSent(total uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.assigned, b.handedOverAt = max(b.assigned, total), clock.Now()
 }
 
 // addFromPeer adds locations that a peer hands over.
-func (b *locationBuffer) addFromPeer(locations []wire.Place) {
+func (b *locationBuffer) addFromPeer(locations []wire.CacheLocation) {
 	if len(locations) == 0 {
 		return
 	}
 	now := clock.Now()
-	received := make([]recall.Place, 0, len(locations))
+	received := make([]cachelocation.Location, 0, len(locations))
 	for _, l := range locations {
-		location := recall.Place{Subject: l.Subject, Engine: l.Engine}
-		b.recall.Heard(location, now)
+		location := cachelocation.Location{Subject: l.Subject, Engine: l.Engine}
+		b.cacheLocations.RecordReport(location, now)
 		received = append(received, location)
 	}
 	b.spans.Add(received, now)
@@ -83,7 +83,7 @@
 	if b.handedOverAt != 0 && now.Sub(b.handedOverAt) < handoverTTL {
 		return
 	}
-	fresh, total := b.recall.Since(b.assigned)
+	fresh, total := b.cacheLocations.RecordedSince(b.assigned)
 	b.spans.Add(fresh, now)
 	b.assigned = total
 }
@@ -101,7 +101,7 @@
 // it. After a restart of all instances, resumed streams use them to find the engines
 // that still hold their KV caches.
 func (i *Instance) persistLocations(ctx context.Context) error {
-	table := platform.PlaceTable{Store: i.store, Unreadable: i.unreadable}
+	table := platform.CacheLocationTable{Store: i.store, Unreadable: i.unreadable}
 	for !i.loadLocations(ctx, table) {
 		if !clock.Sleep(ctx, announceTimeout) {
 			return nil
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (i *Instance) loadLocations(ctx context.Context, table platform.PlaceTable) bool {
+func (i *Instance) loadLocations(ctx context.Context, table platform.CacheLocationTable) bool {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	locations, err := table.Load(ctx)
@@ -125,17 +125,17 @@
 		return false
 	}
 	now := clock.Now()
-	for _, p := range locations {
-		i.recall.Heard(p, now)
+	for _, l := range locations {
+		i.cacheLocations.RecordReport(l, now)
 	}
 	i.log.Info().Int("places", len(locations)).Msg("instance: cache locations loaded")
 	return true
 }
 
-func (i *Instance) saveLocations(ctx context.Context, table platform.PlaceTable, spans []recall.Span) bool {
+func (i *Instance) saveLocations(ctx context.Context, table platform.CacheLocationTable, spans []cachelocation.Span) bool {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	if err := table.Save(ctx, i.boot.Node(), spans); err != nil {
+	if err := table.Save(ctx, i.s.Node(), spans); err != nil {
 		i.log.Warn().Err(err).Int("spans", len(spans)).Msg("instance: cache locations not written; will retry")
 		return false
 	}
--- a/instance/locations_test.go
+++ b/instance/locations_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 
 	"github.com/ragworthitch/ragworthitch"
+	"github.com/ragworthitch/ragworthitch/cachelocation"
 	"github.com/ragworthitch/ragworthitch/clock"
-	"github.com/ragworthitch/ragworthitch/recall"
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
@@ -25,7 +25,7 @@
 	b.collectOwn(clock.Now())
 	spans, locations := b.spans.Unsaved(), 0
 	for _, s := range spans {
-		locations += len(s.Places)
+		locations += len(s.Locations)
 	}
 	b.spans.Saved(spans)
 	return locations
@@ -35,29 +35,29 @@
 // instance if no peer has taken any for handoverTTL.
 func TestHandsOverOwnLocations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var r recall.Recall
-		b := &locationBuffer{recall: &r}
+		var table cachelocation.Table
+		b := &locationBuffer{cacheLocations: &table}
 		engine := ragworthitch.NewBoot("e1", 1)
 		recorded := 0
 		record := func() {
 			recorded++
-			r.Note(recall.Place{Subject: fmt.Sprint(recorded), Engine: engine}, clock.Now())
+			table.RecordOwn(cachelocation.Location{Subject: fmt.Sprint(recorded), Engine: engine}, clock.Now())
 		}
 		record()
 		assert.Equal(t, 1, saveAll(b), "no peer takes locations")
 
 		record()
-		fresh, total := b.Fresh()
-		assert.Equal(t, []wire.Place{{Subject: "2", Engine: engine}}, fresh)
-		b.Taken(total)
+		fresh, total := b.Unsent()
+		assert.Equal(t, []wire.CacheLocation{{Subject: "2", Engine: engine}}, fresh)
+		b.MarkSent(total)
 		record()
 		assert.Zero(t, saveAll(b), "a peer takes locations")
-		fresh, _ = b.Fresh()
+		fresh, _ = b.Unsent()
 		assert.Len(t, fresh, 1, "the next handover has it")
 
 		time.Sleep(handoverTTL + time.Millisecond)
 		assert.Equal(t, 1, saveAll(b), "the peer has stopped taking locations")
-		fresh, _ = b.Fresh()
+		fresh, _ = b.Unsent()
 		assert.Empty(t, fresh)
 	})
 }
@@ -66,14 +66,14 @@
 // instance, and shorten the save interval.
 func TestSavesPeerLocations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var r recall.Recall
-		b := &locationBuffer{recall: &r}
+		var table cachelocation.Table
+		b := &locationBuffer{cacheLocations: &table}
 		assert.Equal(t, saveInterval, b.saveDelay(clock.Now()))
 		engine := ragworthitch.NewBoot("e1", 1)
-		b.addFromPeer([]wire.Place{{Subject: "a", Engine: engine}})
+		b.addFromPeer([]wire.CacheLocation{{Subject: "a", Engine: engine}})
 		b.addFromPeer(nil)
 		assert.Equal(t, 1, saveAll(b))
-		boot, ok := r.Where("a", clock.Now())
+		boot, ok := table.Find("a", clock.Now())
 		assert.True(t, ok)
 		assert.Equal(t, engine, boot)
 		assert.Equal(t, peerSaveInterval, b.saveDelay(clock.Now()))
--- a/instance/rollouts.go
+++ b/instance/rollouts.go
@@ -21,32 +21,32 @@
 	instanceCountWindow = 10 * time.Second
 )
 
-// rolloutStore adapts a platform.RolloutKeeper to a rollout.Store.
-type rolloutStore struct{ keeper platform.RolloutKeeper }
+// rolloutStore adapts a platform.RolloutWriter to a rollout.Store.
+type rolloutStore struct{ writer platform.RolloutWriter }
 
-// Change writes a status. If another instance has changed it, the error wraps
+// WriteStatus writes a status. If another instance has changed it, the error wraps
 // rollout.ErrTaken.
-func (s rolloutStore) Change(ctx context.Context, c rollout.Change) (rollout.Status, error) {
+func (s rolloutStore) WriteStatus(ctx context.Context, c rollout.Change) (rollout.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutWriteTimeout)
 	defer cancel()
-	status, err := s.keeper.Change(ctx, c)
+	status, err := s.writer.WriteStatus(ctx, c)
 	if errors.Is(err, platform.ErrConflict) {
 		err = errors.Join(rollout.ErrTaken, err)
 	}
 	return status, err
 }
 
-// Tell writes evidence.
-func (s rolloutStore) Tell(ctx context.Context, e rollout.Evidence) error {
+// WriteEvidence writes evidence.
+func (s rolloutStore) WriteEvidence(ctx context.Context, e rollout.Evidence) error {
 	ctx, cancel := context.WithTimeout(ctx, rolloutWriteTimeout)
 	defer cancel()
-	return s.keeper.Tell(ctx, e)
+	return s.writer.WriteEvidence(ctx, e)
 }
 
 // runRollouts writes this instance's decisions on roll-outs and its evidence to the
 // store.
 func (i *Instance) runRollouts(ctx context.Context) error {
-	keeper := rollout.Keeper{Book: &i.rollouts, Store: rolloutStore{platform.RolloutKeeper{Store: i.store}}, Turn: i.decisionDelay, See: i.countTargets, Log: i.log}
+	keeper := rollout.Keeper{Tracker: &i.rollouts, Store: rolloutStore{platform.RolloutWriter{Store: i.store}}, Turn: i.decisionDelay, ObserveTargets: i.countTargets, Log: i.log}
 	for clock.Sleep(ctx, rolloutInterval) {
 		keeper.Step(ctx, clock.Now(), i.store.Now())
 	}
@@ -55,17 +55,17 @@
 
 // countTargets counts a service's targets and their load by version: New is the given
 // version, Old is any other.
-func (i *Instance) countTargets(service, version string) rollout.Sight {
-	var targets rollout.Sight
+func (i *Instance) countTargets(service, version string) rollout.TargetCounts {
+	var targets rollout.TargetCounts
 	now := clock.Now()
 	for _, member := range i.targets.Service(service) {
 		load := member.Work().All().Running
 		if member.Target().Version() != version {
-			targets.Old, targets.OldWork = targets.Old+1, targets.OldWork+load
+			targets.Old, targets.OldLoad = targets.Old+1, targets.OldLoad+load
 			continue
 		}
-		targets.New, targets.NewWork = targets.New+1, targets.NewWork+load
-		if member.Takes(now) {
+		targets.New, targets.NewLoad = targets.New+1, targets.NewLoad+load
+		if member.AcceptsCalls(now) {
 			targets.NewReady++
 		}
 	}
@@ -76,19 +76,19 @@
 // service's roll-out. Instances take turns in the order of rendezvous hashing.
 func (i *Instance) decisionDelay(service string) time.Duration {
 	key := route.Key(service)
-	own, ahead := route.Affinity(key, i.boot.Node()), 0
-	for _, p := range i.peers.Known() {
+	own, ahead := route.Affinity(key, i.s.Node()), 0
+	for _, p := range i.peers.Peers() {
 		if route.Affinity(key, p.Node) > own {
 			ahead++
 		}
 	}
-	return min(time.Duration(ahead)*rollout.TurnGap, rollout.MaxTurn)
+	return min(time.Duration(ahead)*rollout.TurnInterval, rollout.MaxTurn)
 }
 
 // instanceCount returns the number of instances. The second result is false if the number
 // is stale or this instance has only just started.
 func (i *Instance) instanceCount() (int, bool) {
-	count, asOf, ok := i.peers.Entries()
+	count, asOf, ok := i.peers.InstanceCount()
 	now := clock.Now()
 	return count, ok && now.Sub(asOf) < instanceCountWindow && now.Sub(i.startedAt) > instanceCountWindow
 }
--- a/lend/lend.go
+++ b/lend/lend.go
@@ -81,9 +81,9 @@
 	if err != nil {
 		return err
 	}
-	n := l.Budget.Lend(request.Service, request.Repeats, clock.Now())
-	l.Log.Info().Str("asker", borrower).Str("service", request.Service).Int("asked", request.Repeats).Int("lent", n).Msg("lend: retries lent")
-	return c.SendLoan(ctx, wire.Loan{Service: request.Service, Repeats: n})
+	n := l.Budget.Lend(request.Service, request.Retries, clock.Now())
+	l.Log.Info().Str("asker", borrower).Str("service", request.Service).Int("asked", request.Retries).Int("lent", n).Msg("lend: retries lent")
+	return c.SendLoan(ctx, wire.Loan{Service: request.Service, Retries: n})
 }
 
 // Borrow tries to borrow retries of a service and waits for the result. It shares
@@ -169,7 +169,7 @@
 	if err != nil {
 		return 0, err
 	}
-	n, err := c.Borrow(ctx, wire.Loan{Service: service, Repeats: retriesPerLoan})
+	n, err := c.Borrow(ctx, wire.Loan{Service: service, Retries: retriesPerLoan})
 	if err != nil {
 		c.CloseNow()
 		return 0, err
--- a/lend/lend_test.go
+++ b/lend/lend_test.go
@@ -19,7 +19,7 @@
 
 const service = "llm"
 
-var limit = budget.Limit{Ratio: 0.8, Extra: 20, Span: 10 * time.Second}
+var limit = budget.Limit{Ratio: 0.8, Extra: 20, Window: 10 * time.Second}
 
 func spendAll(b *budget.Budget) (n int) {
 	for b.Spend(service, clock.Now()) {
@@ -55,7 +55,7 @@
 
 // Guards against a round of requests for each stream that needs a retry.
 func TestBorrowTogether(t *testing.T) {
-	own, lenderBudget := budget.New(budget.Limit{Span: limit.Span}, nil), budget.New(limit, nil)
+	own, lenderBudget := budget.New(budget.Limit{Window: limit.Window}, nil), budget.New(limit, nil)
 	far := peer(t, "far", "b", lenderBudget)
 	b := &Borrower{Zone: "a", Peers: func() []exchange.Peer { return []exchange.Peer{far} }, Budget: own, Log: zerolog.Nop()}
 	var group sync.WaitGroup
@@ -76,7 +76,7 @@
 	t.Cleanup(func() { ln.Close() })
 	silent := exchange.Peer{Node: "silent", Zone: "b", Addr: ln.Addr().String()}
 	sameZone := peer(t, "near", "a", budget.New(limit, nil))
-	own := budget.New(budget.Limit{Span: limit.Span}, nil)
+	own := budget.New(budget.Limit{Window: limit.Window}, nil)
 	b := &Borrower{Zone: "a", Peers: func() []exchange.Peer { return []exchange.Peer{sameZone, silent} }, Budget: own, Log: zerolog.Nop()}
 	started := time.Now()
 	b.Borrow(t.Context(), service)
--- a/logs/story.go
+++ b/logs/story.go
@@ -32,7 +32,7 @@
 	fields          string // other fields as NAME=VALUE, sorted
 }
 
-// Story writes the log lines that concern a request, ordered by time, and returns
+// RequestHistory writes the log lines that concern a request, ordered by time, and returns
 // the number of the request's own lines:
 //   - the request's own lines, marked with "*"
 //   - changes of process state (see statePrefixes) while the request ran, as logged
@@ -40,7 +40,7 @@
 //   - all lines on crashes of targets that ran the request
 //
 // Text before the JSON of a line is skipped.
-func Story(w io.Writer, request string, paths []string) (int, error) {
+func RequestHistory(w io.Writer, request string, paths []string) (int, error) {
 	all, err := readRecords(paths)
 	if err != nil {
 		return 0, err
@@ -80,9 +80,9 @@
 	fmt.Fprintf(w, "%s %s %s %s | %s\n", r.time, marker, r.process, r.message, r.fields)
 }
 
-// OfTarget writes the lines of all processes on a target, ordered by time, and
+// TargetHistory writes the lines of all processes on a target, ordered by time, and
 // returns their number.
-func OfTarget(w io.Writer, target string, paths []string) (int, error) {
+func TargetHistory(w io.Writer, target string, paths []string) (int, error) {
 	all, err := readRecords(paths)
 	if err != nil {
 		return 0, err
--- a/loopback/link.go
+++ b/loopback/link.go
@@ -55,17 +55,17 @@
 	l.ln.Close()
 }
 
-// Cut stops listening and resets all connections.
-func (l *Link) Cut() {
+// Abort stops listening and resets all connections.
+func (l *Link) Abort() {
 	l.Close()
-	l.Calm()
+	l.ClearFault()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resetAll()
 }
 
-// Disturb injects a fault until Calm is called. Only a Delay fault uses delay.
-func (l *Link) Disturb(fault string, delay time.Duration) {
+// SetFault injects a fault until Calm is called. Only a Delay fault uses delay.
+func (l *Link) SetFault(fault string, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault, l.delay = fault, delay
@@ -75,8 +75,8 @@
 	}
 }
 
-// Calm ends the fault.
-func (l *Link) Calm() {
+// ClearFault ends the fault.
+func (l *Link) ClearFault() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = ""
--- a/loopback/link_test.go
+++ b/loopback/link_test.go
@@ -38,7 +38,7 @@
 	l, err := NewLink(addr, server.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		l.Cut()
+		l.Abort()
 		server.Close()
 	})
 	return l, addr
@@ -71,9 +71,9 @@
 		t.Run(kind, func(t *testing.T) {
 			l, addr := startEchoLink(t)
 			c := dialEcho(t, addr)
-			l.Disturb(kind, 0)
+			l.SetFault(kind, 0)
 			assert.False(t, echoes(t, c, blockedWait))
-			l.Calm()
+			l.ClearFault()
 			require.NoError(t, c.SetReadDeadline(time.Now().Add(echoTimeout)))
 			_, err := io.ReadFull(c, make([]byte, 4))
 			assert.NoError(t, err, "bytes held back by the fault")
@@ -82,7 +82,7 @@
 	t.Run(Delay, func(t *testing.T) {
 		l, addr := startEchoLink(t)
 		c := dialEcho(t, addr)
-		l.Disturb(Delay, 100*time.Millisecond)
+		l.SetFault(Delay, 100*time.Millisecond)
 		startedAt := time.Now()
 		assert.True(t, echoes(t, c, echoTimeout))
 		assert.GreaterOrEqual(t, time.Since(startedAt), 200*time.Millisecond, "delay in both directions")
@@ -90,9 +90,9 @@
 	t.Run(Reset, func(t *testing.T) {
 		l, addr := startEchoLink(t)
 		c := dialEcho(t, addr)
-		l.Disturb(Reset, 0)
+		l.SetFault(Reset, 0)
 		assert.False(t, echoes(t, c, echoTimeout))
-		l.Calm()
+		l.ClearFault()
 		dialEcho(t, addr)
 	})
 	t.Run("close", func(t *testing.T) {
--- a/metrics/text.go
+++ b/metrics/text.go
@@ -25,10 +25,10 @@
 	r.histograms[bucket{name, upper}] += n
 }
 
-// Text returns a handler that serves counters, gauges and histograms as lines of
+// TextHandler returns a handler that serves counters, gauges and histograms as lines of
 // text: a name, labels and a number. Histogram buckets are cumulative, with their
 // upper bound in seconds as the label le.
-func (r *Reporter) Text() http.Handler {
+func (r *Reporter) TextHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		r.mu.Lock()
--- a/metrics/text_test.go
+++ b/metrics/text_test.go
@@ -19,7 +19,7 @@
 	h.RecordDuration(50 * time.Millisecond)
 	stop() // reports pending values
 	w := httptest.NewRecorder()
-	reporter.Text().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+	reporter.TextHandler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	var own []string // without tally's internal metrics
 	for line := range strings.Lines(w.Body.String()) {
 		if strings.HasPrefix(line, "ragworthitch.") {
--- a/pace/engine.go
+++ b/pace/engine.go
@@ -69,16 +69,16 @@
 	return e.longest * math.Exp2(-float64(now.Sub(e.longestAt))/float64(longestHalfLife))
 }
 
-// Longest returns the longest recent event interval, which decays over time.
-func (e *Engine) Longest(now clock.Time) time.Duration {
+// LongestInterval returns the longest recent event interval, which decays over time.
+func (e *Engine) LongestInterval(now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return fromMs(e.decayedLongest(now))
 }
 
-// Own returns the event interval that this instance has measured; 0 without recent
+// MeasuredInterval returns the event interval that this instance has measured; 0 without recent
 // samples.
-func (e *Engine) Own(now clock.Time) time.Duration {
+func (e *Engine) MeasuredInterval(now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.interval.samples == 0 || now.Sub(e.sampledAt) > maxSampleAge {
@@ -87,8 +87,8 @@
 	return fromMs(e.interval.value())
 }
 
-// Heard adds a peer's report of the engine's event interval.
-func (e *Engine) Heard(node string, interval time.Duration, now clock.Time) {
+// AddReport adds a peer's report of the engine's event interval.
+func (e *Engine) AddReport(node string, interval time.Duration, now clock.Time) {
 	if interval <= 0 {
 		return
 	}
@@ -105,10 +105,10 @@
 	e.reports[node] = report{intervalMs: inMs(interval), at: now}
 }
 
-// Gap returns the expected event interval without other prefills at the engine:
+// EventInterval returns the expected event interval without other prefills at the engine:
 // the weighted geometric mean of own samples, peers' reports and the service's
 // usual interval; 0 if all three are unknown.
-func (e *Engine) Gap(usualInterval time.Duration, now clock.Time) time.Duration {
+func (e *Engine) EventInterval(usualInterval time.Duration, now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sum, weight := 0.0, 0.0
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -46,19 +46,19 @@
 		t.Run(k.Name, func(t *testing.T) {
 			var e Engine
 			var s Service
-			assert.Zero(t, s.Pace().First(promptTokens, e.Gap(0, start)), "an estimate without samples")
+			assert.Zero(t, s.Pace().TimeToFirstEvent(promptTokens, e.EventInterval(0, start)), "an estimate without samples")
 			now := start
 			for range 3 {
-				s.Sent(promptTokens)
+				s.AddPrompt(promptTokens)
 				now = feedEvents(&e, &s, now, fromMs(k.GapMs), 40)
-				s.First(k.timeToFirstEvent(promptTokens), promptTokens, e.Own(now))
+				s.AddFirstEvent(k.timeToFirstEvent(promptTokens), promptTokens, e.MeasuredInterval(now))
 			}
 			p := s.Pace()
-			interval := e.Gap(p.Gap, now)
+			interval := e.EventInterval(p.EventInterval, now)
 			assert.InEpsilon(t, k.GapMs, inMs(interval), 0.1)
 			assert.InEpsilon(t, promptTokens, p.Prompt, 0.01)
 			for _, tokens := range []int{promptTokens, 4 * promptTokens} {
-				assert.InEpsilon(t, inMs(k.timeToFirstEvent(tokens)), inMs(p.First(tokens, interval)), 0.1, "%d tokens", tokens)
+				assert.InEpsilon(t, inMs(k.timeToFirstEvent(tokens)), inMs(p.TimeToFirstEvent(tokens, interval)), 0.1, "%d tokens", tokens)
 			}
 		})
 	}
@@ -73,11 +73,11 @@
 	now := feedEvents(&e, &s, start, interval, 100)
 	feedEvents(&other, &s, start, interval, 100)
 	now = feedEvents(&e, &s, now, 5*interval/2, 14) // one second
-	assert.Greater(t, e.Gap(interval, now), 3*interval/2)
+	assert.Greater(t, e.EventInterval(interval, now), 3*interval/2)
 	now = feedEvents(&e, &s, now, 5*interval/2, 14)
-	assert.InEpsilon(t, inMs(5*interval/2), inMs(e.Gap(interval, now)), 0.25)
-	assert.InEpsilon(t, inMs(interval), inMs(other.Gap(interval, now)), 0.01)
-	assert.InEpsilon(t, inMs(interval), inMs(e.Gap(interval, now.Add(2*maxSampleAge))), 0.01)
+	assert.InEpsilon(t, inMs(5*interval/2), inMs(e.EventInterval(interval, now)), 0.25)
+	assert.InEpsilon(t, inMs(interval), inMs(other.EventInterval(interval, now)), 0.01)
+	assert.InEpsilon(t, inMs(interval), inMs(e.EventInterval(interval, now.Add(2*maxSampleAge))), 0.01)
 }
 
 // Guards against taking a retransmission, after which events arrive all at once,
@@ -92,23 +92,23 @@
 		now = feedEvents(&e, &s, now, 230*time.Millisecond, 1)
 		now = feedEvents(&e, &s, now, 500*time.Microsecond, 7)
 	}
-	assert.InEpsilon(t, inMs(interval), inMs(e.Gap(interval, now)), 0.3)
-	assert.GreaterOrEqual(t, e.Longest(now), 200*time.Millisecond, "the longest interval has to include the pause")
+	assert.InEpsilon(t, inMs(interval), inMs(e.EventInterval(interval, now)), 0.3)
+	assert.GreaterOrEqual(t, e.LongestInterval(now), 200*time.Millisecond, "the longest interval has to include the pause")
 }
 
 // Guards against ignored, lasting or unbounded reports of peers.
 func TestReports(t *testing.T) {
 	var e Engine
 	usual := 30 * time.Millisecond
-	e.Heard("n2", 75*time.Millisecond, start)
-	e.Heard("n3", 0, start)
-	atOnce := e.Gap(usual, start)
+	e.AddReport("n2", 75*time.Millisecond, start)
+	e.AddReport("n3", 0, start)
+	atOnce := e.EventInterval(usual, start)
 	assert.InEpsilon(t, 66, inMs(atOnce), 0.1)
-	later := e.Gap(usual, start.Add(2*sampleHalfLife))
+	later := e.EventInterval(usual, start.Add(2*sampleHalfLife))
 	assert.Less(t, later, atOnce)
-	assert.Equal(t, usual, e.Gap(usual, start.Add(2*maxSampleAge)))
+	assert.Equal(t, usual, e.EventInterval(usual, start.Add(2*maxSampleAge)))
 	for i := range 10 * maxReports {
-		e.Heard(string(rune('a'+i)), usual, start)
+		e.AddReport(string(rune('a'+i)), usual, start)
 	}
 	assert.LessOrEqual(t, len(e.reports), maxReports+1)
 }
@@ -118,15 +118,15 @@
 func TestSpreadFollowsLoad(t *testing.T) {
 	var s Service
 	for range 50 {
-		s.Waited(time.Second, time.Second)
+		s.AddWait(time.Second, time.Second)
 	}
 	assert.InEpsilon(t, 1, s.Pace().Spread, 0.1)
 	for range 60 {
-		s.Waited(4*time.Second, time.Second)
+		s.AddWait(4*time.Second, time.Second)
 	}
 	assert.Greater(t, s.Pace().Spread, 3.0)
 	for range 300 {
-		s.Waited(time.Second, time.Second)
+		s.AddWait(time.Second, time.Second)
 	}
 	assert.Less(t, s.Pace().Spread, 2.0)
 }
@@ -134,31 +134,31 @@
 // Guards against an estimate of short answers from a handful of samples.
 func TestAnswerLengths(t *testing.T) {
 	var s Service
-	s.Ended(130, 180, 4*time.Second, 130)
+	s.AddAnswer(130, 180, 4*time.Second, 130)
 	p := s.Pace()
 	assert.Zero(t, p.ShortAnswer)
-	assert.InEpsilon(t, 130.0/180, p.Length, 0.01)
-	assert.InEpsilon(t, 31, inMs(p.Whole), 0.01)
+	assert.InEpsilon(t, 130.0/180, p.UsualAnswer, 0.01)
+	assert.InEpsilon(t, 31, inMs(p.LoadedInterval), 0.01)
 	for n := range 200 {
-		s.Ended(int64(100+n%61), 180, 4*time.Second, 130)
+		s.AddAnswer(int64(100+n%61), 180, 4*time.Second, 130)
 	}
 	p = s.Pace()
 	require.NotZero(t, p.ShortAnswer)
 	assert.Less(t, p.ShortAnswer, 0.62)
-	assert.InEpsilon(t, 130.0/180, p.Length, 0.1)
+	assert.InEpsilon(t, 130.0/180, p.UsualAnswer, 0.1)
 }
 
 // Guards against estimates from invalid samples.
 func TestInvalidSamples(t *testing.T) {
 	var s Service
 	var e Engine
-	s.First(time.Second, 0, time.Millisecond)
-	s.First(time.Second, 100, 0)
-	s.First(time.Millisecond, 100, time.Second) // less than two event intervals
-	s.Waited(time.Second, 0)
-	s.Ended(10, 0, 0, 1)
-	s.Sent(0)
+	s.AddFirstEvent(time.Second, 0, time.Millisecond)
+	s.AddFirstEvent(time.Second, 100, 0)
+	s.AddFirstEvent(time.Millisecond, 100, time.Second) // less than two event intervals
+	s.AddWait(time.Second, 0)
+	s.AddAnswer(10, 0, 0, 1)
+	s.AddPrompt(0)
 	e.Event(0, true, start)
 	assert.Equal(t, Pace{}, s.Pace())
-	assert.Zero(t, e.Own(start))
+	assert.Zero(t, e.MeasuredInterval(start))
 }
--- a/pace/service.go
+++ b/pace/service.go
@@ -33,13 +33,13 @@
 
 	// Pace is a snapshot of a service's estimates. Unknown values are 0.
 	Pace struct {
-		Gap         time.Duration // usual event interval without other prefills
-		Ratio       float64       // prefill time of a token, in event intervals
-		Spread      float64       // actual over expected time to a first event, at spreadQuantile
-		Prompt      float64       // usual length of a prompt, in tokens
-		Whole       time.Duration // mean event interval of an attempt, with other prefills
-		ShortAnswer float64       // length of a short answer, as a share of the maximum
-		Length      float64       // length of a usual answer, as a share of the maximum
+		EventInterval  time.Duration // usual event interval without other prefills
+		PrefillRatio   float64       // prefill time of a token, in event intervals
+		Spread         float64       // actual over expected time to a first event, at spreadQuantile
+		Prompt         float64       // usual length of a prompt, in tokens
+		LoadedInterval time.Duration // mean event interval of an attempt, with other prefills
+		ShortAnswer    float64       // length of a short answer, as a share of the maximum
+		UsualAnswer    float64       // length of a usual answer, as a share of the maximum
 	}
 )
 
@@ -51,24 +51,24 @@
 	s.interval.add(inMs(interval), 0.5, slowStep)
 }
 
-// Gap returns the usual event interval without other prefills at the engine; 0 if
+// EventInterval returns the usual event interval without other prefills at the engine; 0 if
 // unknown. It equals Pace().Gap and is cheaper.
-func (s *Service) Gap() time.Duration {
+func (s *Service) EventInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fromMs(s.interval.value())
 }
 
-// Sent adds the length of a prompt, in tokens.
-func (s *Service) Sent(promptTokens int) {
+// AddPrompt adds the length of a prompt, in tokens.
+func (s *Service) AddPrompt(promptTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prompt.add(float64(promptTokens), 0.5, slowStep)
 }
 
-// First adds the time to a first event at an engine with the given event interval,
+// AddFirstEvent adds the time to a first event at an engine with the given event interval,
 // after a prefill of so many tokens without other prompts waiting.
-func (s *Service) First(took time.Duration, tokens int, interval time.Duration) {
+func (s *Service) AddFirstEvent(took time.Duration, tokens int, interval time.Duration) {
 	if tokens <= 0 || interval <= 0 {
 		return
 	}
@@ -77,9 +77,9 @@
 	s.prefillPerToken.add((float64(took)/float64(interval)-firstEventIntervals)/float64(tokens), 0.5, slowStep)
 }
 
-// Waited adds the time until a first event arrived or the attempt was abandoned,
+// AddWait adds the time until a first event arrived or the attempt was abandoned,
 // and the expected time.
-func (s *Service) Waited(took, expected time.Duration) {
+func (s *Service) AddWait(took, expected time.Duration) {
 	if expected <= 0 {
 		return
 	}
@@ -88,9 +88,9 @@
 	s.spread.add(float64(took)/float64(expected), spreadQuantile, fastStep)
 }
 
-// Ended adds a complete answer: its number of events, the maximum number, and the
+// AddAnswer adds a complete answer: its number of events, the maximum number, and the
 // last attempt's duration from its first event to its last and number of events.
-func (s *Service) Ended(events, maxEvents int64, duration time.Duration, attemptEvents int) {
+func (s *Service) AddAnswer(events, maxEvents int64, duration time.Duration, attemptEvents int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if maxEvents > 0 {
@@ -106,25 +106,25 @@
 func (s *Service) Pace() Pace {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := Pace{Gap: fromMs(s.interval.value()), Ratio: s.prefillPerToken.value(), Spread: s.spread.value(), Prompt: s.prompt.value(), Whole: fromMs(s.loadedInterval.value())}
-	p.Length = s.usualAnswer.value()
+	p := Pace{EventInterval: fromMs(s.interval.value()), PrefillRatio: s.prefillPerToken.value(), Spread: s.spread.value(), Prompt: s.prompt.value(), LoadedInterval: fromMs(s.loadedInterval.value())}
+	p.UsualAnswer = s.usualAnswer.value()
 	if s.shortAnswer.samples >= minSamples {
 		p.ShortAnswer = s.shortAnswer.value()
 	}
 	return p
 }
 
-// Reading returns the time of a prefill of so many tokens at an engine with the
+// PrefillTime returns the time of a prefill of so many tokens at an engine with the
 // given event interval; 0 if unknown.
-func (p Pace) Reading(tokens int, interval time.Duration) time.Duration {
-	return time.Duration(float64(tokens) * p.Ratio * float64(interval))
+func (p Pace) PrefillTime(tokens int, interval time.Duration) time.Duration {
+	return time.Duration(float64(tokens) * p.PrefillRatio * float64(interval))
 }
 
-// First returns the expected time to the first event at an engine with the given
+// TimeToFirstEvent returns the expected time to the first event at an engine with the given
 // event interval and so many prompt tokens to prefill; 0 if unknown.
-func (p Pace) First(tokens int, interval time.Duration) time.Duration {
-	if p.Ratio == 0 {
+func (p Pace) TimeToFirstEvent(tokens int, interval time.Duration) time.Duration {
+	if p.PrefillRatio == 0 {
 		return 0
 	}
-	return firstEventIntervals*interval + p.Reading(tokens, interval)
+	return firstEventIntervals*interval + p.PrefillTime(tokens, interval)
 }
--- a/poison/book.go
+++ b/poison/book.go
@@ -45,7 +45,7 @@
 
 // Causes in log lines about requests that are no longer tracked.
 const (
-	causeRanWell           = "ran well"
+	causeSucceeded         = "ran well"
 	causeReleasedElsewhere = "released by another instance"
 	causeExpired           = "expired"
 	causeEvicted           = "evicted"
@@ -62,13 +62,13 @@
 	// Source says where a crash report comes from.
 	Source string
 
-	// Book tracks the requests that crash targets. The zero value is empty and ready to
+	// Tracker tracks the requests that crash targets. The zero value is empty and ready to
 	// use.
-	Book struct {
+	Tracker struct {
 		Log   zerolog.Logger
 		Scope tally.Scope // nil: no metrics
-		// Dry records and reports crashes but quarantines no request.
-		Dry bool
+		// DryRun records and reports crashes but quarantines no request.
+		DryRun bool
 
 		suspectCount atomic.Int32 // len(suspects), read without the lock
 		mu           sync.Mutex
@@ -97,7 +97,7 @@
 
 	// crashRecord is a crash under a suspect, and where it has been recorded.
 	crashRecord struct {
-		Death
+		Crash
 		knownAt      clock.Time // when this instance learned of the crash
 		observedHere bool       // this instance writes the crash to the store
 		storeQueued  bool       // the write is queued or done
@@ -117,50 +117,50 @@
 		at    clock.Time
 	}
 
-	// Verdict is the state of a request that is about to be sent.
-	Verdict struct {
-		Deaths          int           // targets that have crashed under the request
-		Condemned       bool          // quarantined: the request must not be sent
+	// Status is the state of a request that is about to be sent.
+	Status struct {
+		Crashes         int           // targets that have crashed under the request
+		Quarantined     bool          // quarantined: the request must not be sent
 		Wait            time.Duration // until the next probe is due
-		Trial           Trial         // the next probe, to be claimed before it is sent
+		Probe           Probe         // the next probe, to be claimed before it is sent
 		crashedVersions []string      // of the targets that crashed
 	}
 
-	// Trial is one probe of a quarantined request. Only one instance may send it.
-	Trial struct {
-		Print Fingerprint
-		Count int   // of probes, this one included
-		Row   int64 // version of the row that counts the probes, before this one; 0: no row
+	// Probe is one probe of a quarantined request. Only one instance may send it.
+	Probe struct {
+		Fingerprint Fingerprint
+		Count       int   // of probes, this one included
+		Row         int64 // version of the row that counts the probes, before this one; 0: no row
 	}
 )
 
-// Ran reports whether a target of the version has crashed under the request; for an
+// HasCrashed reports whether a target of the version has crashed under the request; for an
 // unknown version it assumes so.
-func (v Verdict) Ran(version string) bool {
-	return version == "" || slices.Contains(v.crashedVersions, version)
+func (st Status) HasCrashed(version string) bool {
+	return version == "" || slices.Contains(st.crashedVersions, version)
 }
 
-// Judge returns the state of a request.
-func (b *Book) Judge(f Fingerprint, now clock.Time) Verdict {
-	if b.suspectCount.Load() == 0 {
-		return Verdict{}
+// Status returns the state of a request.
+func (t *Tracker) Status(f Fingerprint, now clock.Time) Status {
+	if t.suspectCount.Load() == 0 {
+		return Status{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[f]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[f]
 	if s == nil {
-		return Verdict{}
+		return Status{}
 	}
-	v := Verdict{Deaths: len(s.countedCrashes()), Condemned: s.quarantined}
+	st := Status{Crashes: len(s.countedCrashes()), Quarantined: s.quarantined}
 	if !s.quarantined {
-		return v
+		return st
 	}
-	v.Wait = max(0, s.updatedAt.Add(s.probeDelay()).Sub(now))
-	v.Trial = Trial{Print: f, Count: s.probes + 1, Row: s.probeRowVersion}
+	st.Wait = max(0, s.updatedAt.Add(s.probeDelay()).Sub(now))
+	st.Probe = Probe{Fingerprint: f, Count: s.probes + 1, Row: s.probeRowVersion}
 	for _, c := range s.crashes {
-		v.crashedVersions = append(v.crashedVersions, c.Version)
+		st.crashedVersions = append(st.crashedVersions, c.Version)
 	}
-	return v
+	return st
 }
 
 // probeDelay returns the time from the last change of a quarantined request to its next
@@ -180,7 +180,7 @@
 func (s *suspect) countedCrashes() []*crashRecord {
 	var out []*crashRecord
 	for _, c := range s.crashes {
-		if !c.Together || s.hasConcurrentCrash(c) {
+		if !c.InOutage || s.hasConcurrentCrash(c) {
 			out = append(out, c)
 		}
 	}
@@ -192,18 +192,18 @@
 func (s *suspect) hasConcurrentCrash(c *crashRecord) bool {
 	for _, o := range s.crashes {
 		interval := max(c.knownAt.Sub(o.knownAt), o.knownAt.Sub(c.knownAt))
-		if o.Boot != c.Boot && o.Call != c.Call && interval < TogetherTime {
+		if o.Boot != c.Boot && o.Call != c.Call && interval < OutageWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// Blames reports whether the crash of a target is attributed to any request.
-func (b *Book) Blames(boot ragworthitch.Boot) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, s := range b.suspects {
+// IsAttributed reports whether the crash of a target is attributed to any request.
+func (t *Tracker) IsAttributed(boot ragworthitch.Boot) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, s := range t.suspects {
 		if s.crashes[boot] != nil {
 			return true
 		}
@@ -213,137 +213,137 @@
 
 // Await returns a channel that is closed when the request is quarantined, at once if it
 // already is, and a function that cancels the wait.
-func (b *Book) Await(f Fingerprint) (quarantined <-chan struct{}, stop func()) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) Await(f Fingerprint) (quarantined <-chan struct{}, stop func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	ch := make(chan struct{})
-	if s := b.suspects[f]; s != nil && s.quarantined {
+	if s := t.suspects[f]; s != nil && s.quarantined {
 		close(ch)
 		return ch, func() {}
 	}
-	if b.waiters == nil {
-		b.waiters = map[Fingerprint]map[chan struct{}]bool{}
+	if t.waiters == nil {
+		t.waiters = map[Fingerprint]map[chan struct{}]bool{}
 	}
-	if b.waiters[f] == nil {
-		b.waiters[f] = map[chan struct{}]bool{}
+	if t.waiters[f] == nil {
+		t.waiters[f] = map[chan struct{}]bool{}
 	}
-	b.waiters[f][ch] = true
+	t.waiters[f][ch] = true
 	return ch, func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		delete(b.waiters[f], ch)
-		if len(b.waiters[f]) == 0 {
-			delete(b.waiters, f)
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		delete(t.waiters[f], ch)
+		if len(t.waiters[f]) == 0 {
+			delete(t.waiters, f)
 		}
 	}
 }
 
-// Died records a crash that this instance observed or a peer reported. It reports
+// RecordCrash records a crash that this instance observed or a peer reported. It reports
 // whether the crash was unknown.
-func (b *Book) Died(d Death, source Source, now clock.Time) bool {
+func (t *Tracker) RecordCrash(c Crash, source Source, now clock.Time) bool {
 	if source == SourceOwn {
-		d.Well = b.successes.recent(d.Print, now)
+		c.RecentSuccesses = t.successes.recent(c.Fingerprint, now)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.record(d, source, now) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.record(c, source, now) {
 		return false
 	}
-	b.crashLog.add(d)
-	b.evaluate(now)
-	b.storeCrashes(b.suspects[d.Print])
+	t.crashLog.add(c)
+	t.evaluate(now)
+	t.storeCrashes(t.suspects[c.Fingerprint])
 	return true
 }
 
 // storeCrashes queues the crashes that this instance observed, and that count, for the
 // store; b.mu is held.
-func (b *Book) storeCrashes(s *suspect) {
+func (t *Tracker) storeCrashes(s *suspect) {
 	for _, c := range s.countedCrashes() {
 		if c.observedHere && !c.storeQueued && len(s.crashes) <= maxStoredCrashes {
 			c.storeQueued = true
-			b.queueEdit(Edit{Death: c.Death})
+			t.queueEdit(Edit{Crash: c.Crash})
 		}
 	}
 }
 
 // record adds a crash and reports whether it was unknown; b.mu is held.
-func (b *Book) record(d Death, source Source, now clock.Time) bool {
-	if b.released[d.Print].boots[d.Boot] {
+func (t *Tracker) record(c Crash, source Source, now clock.Time) bool {
+	if t.released[c.Fingerprint].boots[c.Boot] {
 		return false
 	}
-	s := b.suspects[d.Print]
+	s := t.suspects[c.Fingerprint]
 	if s == nil {
-		b.evictFor(d.Org, source == SourceOwn)
-		s = &suspect{print: d.Print, org: d.Org, service: d.Service, crashes: map[ragworthitch.Boot]*crashRecord{}}
-		b.suspects[d.Print] = s
-		b.suspectCount.Store(int32(len(b.suspects)))
+		t.evictFor(c.Org, source == SourceOwn)
+		s = &suspect{print: c.Fingerprint, org: c.Org, service: c.Service, crashes: map[ragworthitch.Boot]*crashRecord{}}
+		t.suspects[c.Fingerprint] = s
+		t.suspectCount.Store(int32(len(t.suspects)))
 	}
-	if known := s.crashes[d.Boot]; known != nil {
+	if known := s.crashes[c.Boot]; known != nil {
 		known.stored = known.stored || source == SourceStore
 		return false
 	}
-	s.crashes[d.Boot] = &crashRecord{Death: d, knownAt: now, observedHere: source == SourceOwn, stored: source == SourceStore}
+	s.crashes[c.Boot] = &crashRecord{Crash: c, knownAt: now, observedHere: source == SourceOwn, stored: source == SourceStore}
 	s.updatedAt = now
-	b.incCounter("poison_deaths")
-	b.Log.Warn().Stringer("fingerprint", d.Print).Str("org", d.Org).Str("service", d.Service).Str("target", d.Boot.ID()).
-		Str("call", d.Call).Str("targetVersion", d.Version).Bool("together", d.Together).Str("from", string(source)).Int("deaths", len(s.countedCrashes())).Msg("poison: target crashed as it began a request")
+	t.incCounter("poison_deaths")
+	t.Log.Warn().Stringer("fingerprint", c.Fingerprint).Str("org", c.Org).Str("service", c.Service).Str("target", c.Boot.ID()).
+		Str("call", c.Call).Str("targetVersion", c.Version).Bool("together", c.InOutage).Str("from", string(source)).Int("deaths", len(s.countedCrashes())).Msg("poison: target crashed as it began a request")
 	return true
 }
 
-// RanWell records that an attempt succeeded, or ran longer than a poison request takes to
+// RecordSuccess records that an attempt succeeded, or ran longer than a poison request takes to
 // crash its target. The request is released.
-func (b *Book) RanWell(f Fingerprint, now clock.Time) {
-	b.successes.add(f, now)
-	if b.suspectCount.Load() == 0 {
+func (t *Tracker) RecordSuccess(f Fingerprint, now clock.Time) {
+	t.successes.add(f, now)
+	if t.suspectCount.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.suspects[f]; s != nil {
-		b.recordRelease(s, now)
-		b.clear(s, causeRanWell, true)
-		b.evaluate(now)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.suspects[f]; s != nil {
+		t.recordRelease(s, now)
+		t.clear(s, causeSucceeded, true)
+		t.evaluate(now)
 	}
 }
 
 // recordRelease keeps the known crashes of a suspect from counting again; b.mu is held.
-func (b *Book) recordRelease(s *suspect, now clock.Time) {
-	if b.released == nil || len(b.released) >= maxSuspects {
-		b.released = map[Fingerprint]release{}
+func (t *Tracker) recordRelease(s *suspect, now clock.Time) {
+	if t.released == nil || len(t.released) >= maxSuspects {
+		t.released = map[Fingerprint]release{}
 	}
-	r := release{boots: b.released[s.print].boots, at: now}
+	r := release{boots: t.released[s.print].boots, at: now}
 	if r.boots == nil {
 		r.boots = map[ragworthitch.Boot]bool{}
 	}
 	for boot := range s.crashes {
 		r.boots[boot] = true
 	}
-	b.released[s.print] = r
+	t.released[s.print] = r
 }
 
 // clear stops tracking a suspect, and deletes its rows in the store if dropRows
 // is set; b.mu is held.
-func (b *Book) clear(s *suspect, cause string, dropRows bool) {
-	delete(b.suspects, s.print)
-	b.suspectCount.Store(int32(len(b.suspects)))
+func (t *Tracker) clear(s *suspect, cause string, dropRows bool) {
+	delete(t.suspects, s.print)
+	t.suspectCount.Store(int32(len(t.suspects)))
 	if rows := s.storedRows(); dropRows && len(rows) > 0 {
-		b.queueEdit(Edit{Drop: rows})
+		t.queueEdit(Edit{Drop: rows})
 	}
 	if s.quarantined {
-		b.incCounter("poison_cleared")
+		t.incCounter("poison_cleared")
 	}
-	b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("deaths", len(s.crashes)).
+	t.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("deaths", len(s.crashes)).
 		Bool("wasCondemned", s.quarantined).Int("trials", s.probes).Str("cause", cause).Msg("poison: request is no longer tracked")
 }
 
 // evaluate decides which suspects are quarantined. It starts with the suspects that have
 // the most crashes: a target's crash is not attributed to a request if a quarantined request
 // with more crashes ran there too. b.mu is held.
-func (b *Book) evaluate(now clock.Time) {
+func (t *Tracker) evaluate(now clock.Time) {
 	var ranked []countedSuspect
 	quarantinedByOrg := map[string]int{}
 	blamed := map[ragworthitch.Boot]bool{}
-	for _, s := range b.suspects {
+	for _, s := range t.suspects {
 		crashes := s.countedCrashes()
 		ranked = append(ranked, countedSuspect{s, crashes})
 		if s.quarantined {
@@ -358,7 +358,7 @@
 	})
 	maxCrashesByBoot := map[ragworthitch.Boot]int{} // the most crashes of any quarantined request that ran there
 	for _, s := range ranked {
-		threshold := crashThreshold(b.losses.independentRate(s.service, func(boot ragworthitch.Boot) bool { return blamed[boot] }, now))
+		threshold := crashThreshold(t.losses.independentRate(s.service, func(boot ragworthitch.Boot) bool { return blamed[boot] }, now))
 		if quarantinedByOrg[s.org] >= strictOrgQuarantines {
 			threshold = 1
 		}
@@ -371,46 +371,46 @@
 				attributed++
 			}
 		}
-		quarantine := !b.Dry && attributed >= threshold && b.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)
+		quarantine := !t.DryRun && attributed >= threshold && t.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)
 		if quarantine {
 			for _, c := range s.crashes {
 				maxCrashesByBoot[c.Boot] = max(maxCrashesByBoot[c.Boot], len(s.crashes))
 			}
 		}
-		b.setQuarantined(s.suspect, quarantine, now)
+		t.setQuarantined(s.suspect, quarantine, now)
 		s.threshold = threshold
 	}
 }
 
 // recentSuccesses returns how many attempts of a request succeeded recently: the highest
 // count of this instance and of the instances that observed a crash under the request.
-func (b *Book) recentSuccesses(s *suspect, now clock.Time) int {
-	n := b.successes.recent(s.print, now)
+func (t *Tracker) recentSuccesses(s *suspect, now clock.Time) int {
+	n := t.successes.recent(s.print, now)
 	for _, c := range s.crashes {
-		n = max(n, c.Well)
+		n = max(n, c.RecentSuccesses)
 	}
 	return n
 }
 
 // setQuarantined quarantines or releases a suspect and logs the change; b.mu is held.
-func (b *Book) setQuarantined(s *suspect, quarantined bool, now clock.Time) {
+func (t *Tracker) setQuarantined(s *suspect, quarantined bool, now clock.Time) {
 	if quarantined == s.quarantined {
 		return
 	}
 	s.quarantined, s.updatedAt = quarantined, now
 	if !quarantined {
-		b.incCounter("poison_cleared")
-		b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("deaths", len(s.crashes)).
-			Int("ranWellLately", b.recentSuccesses(s, now)).Msg("poison: quarantined request released")
+		t.incCounter("poison_cleared")
+		t.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("deaths", len(s.crashes)).
+			Int("ranWellLately", t.recentSuccesses(s, now)).Msg("poison: quarantined request released")
 		return
 	}
-	b.incCounter("poison_condemned")
-	b.Log.Warn().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Strs("targets", s.targetIDs()).
-		Int("ranWellLately", b.recentSuccesses(s, now)).Int("trials", s.probes).Dur("hold", s.probeDelay()).Msg("poison: request quarantined")
-	for ch := range b.waiters[s.print] {
+	t.incCounter("poison_condemned")
+	t.Log.Warn().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Strs("targets", s.targetIDs()).
+		Int("ranWellLately", t.recentSuccesses(s, now)).Int("trials", s.probes).Dur("hold", s.probeDelay()).Msg("poison: request quarantined")
+	for ch := range t.waiters[s.print] {
 		close(ch)
 	}
-	delete(b.waiters, s.print)
+	delete(t.waiters, s.print)
 }
 
 // targetIDs returns the ids of the targets whose crashes count, sorted.
@@ -425,49 +425,49 @@
 
 // Claim takes a probe for this instance. It returns false if another probe has been
 // made since the verdict. After a claim no probe is due until the longer delay is over.
-func (b *Book) Claim(t Trial, row int64, now clock.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[t.Print]
-	if s == nil || s.probes >= t.Count {
+func (t *Tracker) Claim(p Probe, row int64, now clock.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[p.Fingerprint]
+	if s == nil || s.probes >= p.Count {
 		return false
 	}
-	b.recordProbe(s, t.Count, row, now)
+	t.recordProbe(s, p.Count, row, now)
 	return true
 }
 
 // recordProbe counts a probe; b.mu is held.
-func (b *Book) recordProbe(s *suspect, count int, row int64, now clock.Time) {
+func (t *Tracker) recordProbe(s *suspect, count int, row int64, now clock.Time) {
 	s.probes, s.probeRowVersion, s.updatedAt = count, max(s.probeRowVersion, row), now
-	b.incCounter("poison_trials")
-	b.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("trials", count).Dur("hold", s.probeDelay()).
+	t.incCounter("poison_trials")
+	t.Log.Info().Stringer("fingerprint", s.print).Str("org", s.org).Str("service", s.service).Int("trials", count).Dur("hold", s.probeDelay()).
 		Msg("poison: quarantined request is probed once")
 }
 
 // evictFor evicts suspects until there is room for one more of an organisation, and
 // deletes their rows in the store if dropRows is set; b.mu is held.
-func (b *Book) evictFor(org string, dropRows bool) {
-	if b.suspects == nil {
-		b.suspects = map[Fingerprint]*suspect{}
+func (t *Tracker) evictFor(org string, dropRows bool) {
+	if t.suspects == nil {
+		t.suspects = map[Fingerprint]*suspect{}
 	}
 	orgSuspects := 0
-	for _, s := range b.suspects {
+	for _, s := range t.suspects {
 		if s.org == org {
 			orgSuspects++
 		}
 	}
 	if orgSuspects >= maxSuspectsPerOrg {
-		b.clear(b.evictionCandidate(func(s *suspect) bool { return s.org == org }), causeEvicted, dropRows)
+		t.clear(t.evictionCandidate(func(s *suspect) bool { return s.org == org }), causeEvicted, dropRows)
 	}
-	if len(b.suspects) >= maxSuspects {
-		b.clear(b.evictionCandidate(func(*suspect) bool { return true }), causeEvicted, dropRows)
+	if len(t.suspects) >= maxSuspects {
+		t.clear(t.evictionCandidate(func(*suspect) bool { return true }), causeEvicted, dropRows)
 	}
 }
 
 // evictionCandidate returns the suspect to evict among those that match; b.mu is held.
-func (b *Book) evictionCandidate(match func(*suspect) bool) *suspect {
+func (t *Tracker) evictionCandidate(match func(*suspect) bool) *suspect {
 	var out *suspect
-	for _, s := range b.suspects {
+	for _, s := range t.suspects {
 		if match(s) && (out == nil || out.quarantined && !s.quarantined || out.quarantined == s.quarantined && s.updatedAt < out.updatedAt) {
 			out = s
 		}
@@ -475,28 +475,28 @@
 	return out
 }
 
-// Forget removes expired records, also from the store.
-func (b *Book) Forget(now clock.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, s := range b.suspects {
+// Expire removes expired records, also from the store.
+func (t *Tracker) Expire(now clock.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, s := range t.suspects {
 		ttl := suspectTTL
 		if s.quarantined {
 			ttl = quarantineTTL
 		}
 		if now.Sub(s.updatedAt) > ttl {
-			b.clear(s, causeExpired, true)
+			t.clear(s, causeExpired, true)
 		}
 	}
-	for f, r := range b.released {
+	for f, r := range t.released {
 		if now.Sub(r.at) > suspectTTL {
-			delete(b.released, f)
+			delete(t.released, f)
 		}
 	}
 }
 
-func (b *Book) incCounter(name string) {
-	if b.Scope != nil {
-		b.Scope.Counter(name).Inc(1)
+func (t *Tracker) incCounter(name string) {
+	if t.Scope != nil {
+		t.Scope.Counter(name).Inc(1)
 	}
 }
--- a/poison/bystanders_test.go
+++ b/poison/bystanders_test.go
@@ -67,7 +67,7 @@
 		targets          []simulatedTarget
 		streams          []*simulatedStream
 		streamCount      int
-		book             Book
+		tracker          Tracker
 		crashesByRequest map[string]int // of the poison requests
 	}
 )
@@ -86,7 +86,7 @@
 				lostAttempts, blamed = lostAttempts+m, blamed+b
 				assert.Len(t, sim.crashesByRequest, c.Poison)
 				for name, n := range sim.crashesByRequest {
-					assert.True(t, sim.book.Judge(fingerprintOf(name), sim.clock()).Condemned, name)
+					assert.True(t, sim.tracker.Status(fingerprintOf(name), sim.clock()).Quarantined, name)
 					assert.LessOrEqual(t, n, minCrashThreshold+maxLateCrashes, name)
 				}
 			}
@@ -125,7 +125,7 @@
 	}
 	for i := range sim.Poison {
 		name := fmt.Sprint("x", i)
-		if sim.occurs(1/poisonInterval.Seconds()) && !sim.book.Judge(fingerprintOf(name), sim.clock()).Condemned {
+		if sim.occurs(1/poisonInterval.Seconds()) && !sim.tracker.Status(fingerprintOf(name), sim.clock()).Quarantined {
 			sim.send(&simulatedStream{name: name, isPoison: true})
 		}
 	}
@@ -189,7 +189,7 @@
 		}
 		s.streamedTime += tick
 		if s.eventCount() == maxEarlyEvents+1 {
-			sim.book.RanWell(fingerprintOf(s.name), sim.clock())
+			sim.tracker.RecordSuccess(fingerprintOf(s.name), sim.clock())
 		}
 	}
 }
@@ -208,21 +208,21 @@
 	sim.streams = nil
 	for _, s := range streams {
 		if !sim.targetLost(s) {
-			gaveUp := s.untilPrefilled > 0 && sim.book.Judge(fingerprintOf(s.name), sim.clock()).Condemned
+			gaveUp := s.untilPrefilled > 0 && sim.tracker.Status(fingerprintOf(s.name), sim.clock()).Quarantined
 			if s.eventCount() < eventsPerStream && !gaveUp {
 				sim.streams = append(sim.streams, s)
 			}
 			continue
 		}
-		sim.book.Lost(Loss{Service: "llm", Zone: fmt.Sprint(sim.targets[s.target].zone), Boot: bootOf(s), Targets: len(sim.targets)}, sim.clock())
-		sighting := sim.observe(s)
-		attributed := s.untilPrefilled <= 0 && sighting.Counts()
+		sim.tracker.RecordLoss(Loss{Service: "llm", Zone: fmt.Sprint(sim.targets[s.target].zone), Boot: bootOf(s), Targets: len(sim.targets)}, sim.clock())
+		loss := sim.observe(s)
+		attributed := s.untilPrefilled <= 0 && loss.Counts()
 		if attributed {
 			crash := crashOf(s.name, bootOf(s).ID())
-			crash.Call, crash.Together = fmt.Sprintf("%p", s), sighting.Together()
-			sim.book.Died(crash, SourceOwn, sim.clock())
+			crash.Call, crash.InOutage = fmt.Sprintf("%p", s), loss.InOutage()
+			sim.tracker.RecordCrash(crash, SourceOwn, sim.clock())
 		}
-		quarantined := sim.book.Judge(fingerprintOf(s.name), sim.clock()).Condemned
+		quarantined := sim.tracker.Status(fingerprintOf(s.name), sim.clock()).Quarantined
 		if !s.isPoison {
 			lostAttempts++
 			if attributed {
@@ -245,15 +245,15 @@
 }
 
 // observe returns what an instance observes when an attempt loses its target.
-func (sim *simulation) observe(s *simulatedStream) Sighting {
-	return Sighting{Events: s.eventCount(), Zone: sim.checkNeighbours(func(o simulatedTarget) bool { return o.zone == sim.targets[s.target].zone }, s.target),
+func (sim *simulation) observe(s *simulatedStream) LossObservation {
+	return LossObservation{Events: s.eventCount(), Zone: sim.checkNeighbours(func(o simulatedTarget) bool { return o.zone == sim.targets[s.target].zone }, s.target),
 		Service: sim.checkNeighbours(func(simulatedTarget) bool { return true }, s.target)}
 }
 
 // checkNeighbours checks some other targets for connections, but not those that are
 // already known to be lost.
-func (sim *simulation) checkNeighbours(match func(simulatedTarget) bool, lost int) Round {
-	var r Round
+func (sim *simulation) checkNeighbours(match func(simulatedTarget) bool, lost int) NeighbourCheck {
+	var r NeighbourCheck
 	for _, i := range sim.rng.Perm(len(sim.targets)) {
 		o := sim.targets[i]
 		known := o.downUntil > sim.now && o.downUntil < sim.now+downTime-tick
@@ -271,12 +271,12 @@
 // Outages of a zone or a service are distinguished from the loss of single targets.
 func TestTogether(t *testing.T) {
 	for lost := range Neighbours + 1 {
-		assert.Equal(t, lost >= outageThreshold, Sighting{Zone: Round{Asked: Neighbours, Lost: lost}}.Together(), lost)
+		assert.Equal(t, lost >= outageThreshold, LossObservation{Zone: NeighbourCheck{Asked: Neighbours, Lost: lost}}.InOutage(), lost)
 	}
-	assert.True(t, Sighting{Service: Round{Asked: 3, Lost: 2}}.Together())
-	assert.False(t, Sighting{Service: Round{Asked: 4, Lost: 2}}.Together(), "other targets of the service are up")
-	assert.False(t, Sighting{Zone: Round{Asked: 1, Lost: 1}}.Together(), "a single neighbour says little")
-	assert.False(t, Sighting{}.Together(), "no neighbours")
-	assert.False(t, Sighting{Leaving: true}.Counts())
-	assert.False(t, Sighting{Events: maxEarlyEvents + 1}.Counts())
+	assert.True(t, LossObservation{Service: NeighbourCheck{Asked: 3, Lost: 2}}.InOutage())
+	assert.False(t, LossObservation{Service: NeighbourCheck{Asked: 4, Lost: 2}}.InOutage(), "other targets of the service are up")
+	assert.False(t, LossObservation{Zone: NeighbourCheck{Asked: 1, Lost: 1}}.InOutage(), "a single neighbour says little")
+	assert.False(t, LossObservation{}.InOutage(), "no neighbours")
+	assert.False(t, LossObservation{Draining: true}.Counts())
+	assert.False(t, LossObservation{Events: maxEarlyEvents + 1}.Counts())
 }
--- a/poison/death.go
+++ b/poison/death.go
@@ -20,44 +20,44 @@
 )
 
 type (
-	// Death is the crash of a target soon after it started a request.
-	Death struct {
-		Print   Fingerprint
-		Boot    ragworthitch.Boot // of the target
-		Call    string            // id of the call that it ran
-		Org     string
-		Service string
-		Version string // of the target's software
-		// Well is how many attempts of the request had succeeded recently at the
+	// Crash is the crash of a target soon after it started a request.
+	Crash struct {
+		Fingerprint Fingerprint
+		Boot        ragworthitch.Boot // of the target
+		Call        string            // id of the call that it ran
+		Org         string
+		Service     string
+		Version     string // of the target's software
+		// RecentSuccesses is how many attempts of the request had succeeded recently at the
 		// instance that observed the crash.
-		Well int
-		// Together is set if other targets of the zone or the service were lost at the
+		RecentSuccesses int
+		// InOutage is set if other targets of the zone or the service were lost at the
 		// same time. Such a crash counts only if several of them were running the
 		// request.
-		Together bool
+		InOutage bool
 	}
 
-	// Sighting is what an instance observed when an attempt lost its target.
-	Sighting struct {
-		Events  int  // of all attempts of the request so far
-		Leaving bool // the target was draining or had been deregistered
-		Zone    Round
-		Service Round
+	// LossObservation is what an instance observed when an attempt lost its target.
+	LossObservation struct {
+		Events   int  // of all attempts of the request so far
+		Draining bool // the target was draining or had been deregistered
+		Zone     NeighbourCheck
+		Service  NeighbourCheck
 	}
 
-	// Round counts the other targets that were checked after a loss, and those of them
+	// NeighbourCheck counts the other targets that were checked after a loss, and those of them
 	// that accepted no connection.
-	Round struct{ Asked, Lost int }
+	NeighbourCheck struct{ Asked, Lost int }
 )
 
 // Young reports whether a request with this many events may have crashed its target.
 func Young(events int) bool { return events <= maxEarlyEvents }
 
 // Counts reports whether the request may have caused the loss.
-func (s Sighting) Counts() bool { return Young(s.Events) && !s.Leaving }
+func (l LossObservation) Counts() bool { return Young(l.Events) && !l.Draining }
 
-// Together reports whether the target was lost along with others.
-func (s Sighting) Together() bool {
-	service := s.Service.Lost >= outageThreshold && 2*s.Service.Lost > s.Service.Asked
-	return s.Zone.Lost >= outageThreshold || service
+// InOutage reports whether the target was lost along with others.
+func (l LossObservation) InOutage() bool {
+	service := l.Service.Lost >= outageThreshold && 2*l.Service.Lost > l.Service.Asked
+	return l.Zone.Lost >= outageThreshold || service
 }
--- a/poison/losses.go
+++ b/poison/losses.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// TogetherTime is the interval within which instances detect the losses of targets
+	// OutageWindow is the interval within which instances detect the losses of targets
 	// that fail together. The loss of a target without power is detected after 300 ms.
-	TogetherTime = 400 * time.Millisecond
+	OutageWindow = 400 * time.Millisecond
 	// lossWindow is how long a loss counts towards the rate of independent crashes:
 	// losses that are neither part of an outage nor attributed to a request.
 	lossWindow = time.Minute
@@ -46,12 +46,12 @@
 	}
 )
 
-// Lost records the loss of a target. The more targets are lost independently of any
+// RecordLoss records the loss of a target. The more targets are lost independently of any
 // young request, the more crashes it takes to quarantine one.
-func (b *Book) Lost(l Loss, now clock.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.losses.add(l, now)
+func (t *Tracker) RecordLoss(l Loss, now clock.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.losses.add(l, now)
 }
 
 func (ls *lossTable) add(l Loss, now clock.Time) {
@@ -95,7 +95,7 @@
 	others := 0
 	for i, o := range ls.entries {
 		interval := math.Abs(float64(o.at - ls.entries[index].at))
-		if i != index && o.Zone == ls.entries[index].Zone && interval < float64(TogetherTime) {
+		if i != index && o.Zone == ls.entries[index].Zone && interval < float64(OutageWindow) {
 			others++
 		}
 	}
--- a/registry/boots.go
+++ b/registry/boots.go
@@ -90,9 +90,9 @@
 	r.ended[id] = e
 }
 
-// Refused records that the address of a target answered for another target: the
+// EndMismatched records that the address of a target answered for another target: the
 // boot has ended, although its registration still exists.
-func (r *Registry) Refused(b ragworthitch.Boot, now clock.Time) {
+func (r *Registry) EndMismatched(b ragworthitch.Boot, now clock.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.makeMaps()
@@ -111,10 +111,10 @@
 	return slices.DeleteFunc(times, func(at clock.Time) bool { return now.Sub(at) > staleRegistrationAge })
 }
 
-// Stale returns the number of recently found stale registrations of a service in a
+// StaleRegistrations returns the number of recently found stale registrations of a service in a
 // zone. Targets of a zone are replaced together, so the zone's other
 // registrations are probably stale as well while the store is unavailable.
-func (r *Registry) Stale(service, zone string, now clock.Time) int {
+func (r *Registry) StaleRegistrations(service, zone string, now clock.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(dropOld(slices.Clone(r.staleRegistrations[serviceZone{service, zone}]), now))
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -115,8 +115,8 @@
 // AddedAt returns when this boot of the target became known.
 func (m *Member) AddedAt() clock.Time { return m.addedAt }
 
-// Takes reports whether the target may get new calls.
-func (m *Member) Takes(now clock.Time) bool {
+// AcceptsCalls reports whether the target may get new calls.
+func (m *Member) AcceptsCalls(now clock.Time) bool {
 	m.mu.Lock()
 	ok := !m.unreadable && !m.target.Draining() && (m.expiresAt == 0 || now < m.expiresAt)
 	m.mu.Unlock()
@@ -191,7 +191,7 @@
 
 // add adds a target's member; r.mu is held.
 func (r *Registry) add(t ragworthitch.Target, maxConns int) {
-	m := &Member{addedAt: clock.Now(), conns: upstream.NewPool(t.Address(), maxOwnConns(maxConns)), target: t, coldUntil: clock.Now().Add(t.ColdFor())}
+	m := &Member{addedAt: clock.Now(), conns: upstream.NewPool(t.Address(), maxOwnConns(maxConns)), target: t, coldUntil: clock.Now().Add(t.WarmupRemaining())}
 	m.life, m.end = context.WithCancelCause(context.Background())
 	m.work.onChange = func(busy bool) { r.setBusy(m, busy) }
 	r.byID[t.ID()], r.byAddr[t.Address()] = m, m
@@ -228,7 +228,7 @@
 		m.update(t)
 		r.addToServices(m)
 	}
-	m.conns.Limit(maxOwnConns(maxConns))
+	m.conns.SetLimit(maxOwnConns(maxConns))
 	return Known
 }
 
@@ -237,12 +237,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expiresAt, m.unreadable, m.target = 0, false, t
-	m.coldUntil = clock.Now().Add(t.ColdFor())
+	m.coldUntil = clock.Now().Add(t.WarmupRemaining())
 }
 
-// Cold reports whether the target is still slow after its start, by its
+// IsCold reports whether the target is still slow after its start, by its
 // registration.
-func (m *Member) Cold(now clock.Time) bool {
+func (m *Member) IsCold(now clock.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return now < m.coldUntil
@@ -266,10 +266,10 @@
 	return m != nil && m.setUnreadable()
 }
 
-// Vanish records that a target's registration is gone. The target may get
+// Unregister records that a target's registration is gone. The target may get
 // calls until the given time, as registrations also lapse while the store is
 // unavailable. If until isn't after now, the target is removed at once.
-func (r *Registry) Vanish(id string, now, until clock.Time) {
+func (r *Registry) Unregister(id string, now, until clock.Time) {
 	r.mu.RLock()
 	m := r.byID[id]
 	r.mu.RUnlock()
@@ -332,8 +332,8 @@
 	m.conns.Close()
 }
 
-// At returns the target that now has an address, or nil.
-func (r *Registry) At(addr string) *Member {
+// ByAddress returns the target that now has an address, or nil.
+func (r *Registry) ByAddress(addr string) *Member {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.byAddr[addr]
@@ -365,8 +365,8 @@
 	return out
 }
 
-// Edits returns the number of changes of this instance's own load at all targets.
-func (r *Registry) Edits() uint64 { return r.workChanges.Load() }
+// WorkChanges returns the number of changes of this instance's own load at all targets.
+func (r *Registry) WorkChanges() uint64 { return r.workChanges.Load() }
 
 // IDs returns the ids of all known targets.
 func (r *Registry) IDs() []string {
@@ -412,9 +412,9 @@
 	return out
 }
 
-// Forget drops the load that an instance has reported.
-func (r *Registry) Forget(node string) {
+// ForgetPeer drops the load that an instance has reported.
+func (r *Registry) ForgetPeer(node string) {
 	for _, m := range r.All() {
-		m.work.SetOther(node, Load{})
+		m.work.SetPeer(node, Load{})
 	}
 }
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -26,12 +26,12 @@
 	r.Put(newTarget("old", "10.0.0.1:80", false), 0)
 	r.Put(newTarget("new", "10.0.0.1:80", false), 0)
 	assert.Nil(t, r.ByID("old"))
-	assert.Equal(t, "new", r.At("10.0.0.1:80").Target().ID())
+	assert.Equal(t, "new", r.ByAddress("10.0.0.1:80").Target().ID())
 	r.Put(newTarget("old", "10.0.0.1:80", false), 0)
 	assert.Nil(t, r.ByID("old"))
 	assert.Len(t, r.Service("llm"), 1)
-	r.Refused(ragworthitch.NewBoot("new", 0), now)
-	assert.Nil(t, r.At("10.0.0.1:80"))
+	r.EndMismatched(ragworthitch.NewBoot("new", 0), now)
+	assert.Nil(t, r.ByAddress("10.0.0.1:80"))
 	assert.Empty(t, r.Service("llm"))
 }
 
@@ -41,18 +41,18 @@
 	var r Registry
 	r.Put(newTarget("a", "10.0.0.1:80", false), 0)
 	r.Put(newTarget("b", "10.0.0.2:80", false), 0)
-	r.Vanish("a", now, now)
+	r.Unregister("a", now, now)
 	assert.Nil(t, r.ByID("a"))
-	r.Vanish("b", now, now.Add(2*time.Second))
+	r.Unregister("b", now, now.Add(2*time.Second))
 	b := r.ByID("b")
 	require.NotNil(t, b)
-	assert.True(t, b.Takes(now.Add(time.Second)))
-	assert.False(t, b.Takes(now.Add(2*time.Second)))
+	assert.True(t, b.AcceptsCalls(now.Add(time.Second)))
+	assert.False(t, b.AcceptsCalls(now.Add(2*time.Second)))
 	r.Put(newTarget("b", "10.0.0.2:80", false), 0)
 	r.Expire(now.Add(time.Hour))
-	assert.True(t, b.Takes(now.Add(time.Hour)))
+	assert.True(t, b.AcceptsCalls(now.Add(time.Hour)))
 	r.Put(newTarget("b", "10.0.0.2:80", true), 0)
-	assert.False(t, b.Takes(now), "the target drains")
+	assert.False(t, b.AcceptsCalls(now), "the target drains")
 }
 
 func TestWork(t *testing.T) {
@@ -60,33 +60,33 @@
 	r.Put(newTarget("a", "10.0.0.1:80", false), 0)
 	w := r.ByID("a").Work()
 	started, end := w.Begin(8000, 9000)
-	drop := w.KeepCopy(5000)
-	w.SetOther("n2", Load{Prefill: 100, Running: 2, Tokens: 300})
+	drop := w.AddReplica(5000)
+	w.SetPeer("n2", Load{Prefill: 100, Running: 2, Tokens: 300})
 	assert.Equal(t, Load{Prefill: 8000, Running: 1, Tokens: 14000}, w.Own())
 	assert.Equal(t, Load{Prefill: 8100, Running: 3, Tokens: 14300}, w.All())
 	assert.Len(t, r.Busy(), 1)
-	edits := r.Edits()
+	edits := r.WorkChanges()
 	started()
 	started() // no effect
 	assert.Equal(t, Load{Running: 1, Tokens: 14000}, w.Own())
-	assert.Greater(t, r.Edits(), edits)
+	assert.Greater(t, r.WorkChanges(), edits)
 	end()
 	drop()
 	assert.Equal(t, Load{}, w.Own())
 	assert.Empty(t, r.Busy())
-	r.Forget("n2")
+	r.ForgetPeer("n2")
 	assert.Equal(t, Load{}, w.All())
 }
 
 // Guards against counting an engine that serves several models as several targets.
 func TestTargetWithSeveralServices(t *testing.T) {
 	var r Registry
-	r.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: "planner", Others: []string{"summary"}, Address: "10.0.0.1:80"}), 0)
+	r.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: "planner", OtherServices: []string{"summary"}, Address: "10.0.0.1:80"}), 0)
 	r.Put(newTarget("b", "10.0.0.2:80", false), 0)
 	require.Len(t, r.Service("planner"), 1)
 	require.Len(t, r.Service("summary"), 1)
 	assert.Same(t, r.Service("planner")[0], r.Service("summary")[0])
-	r.Refused(ragworthitch.NewBoot("a", 0), now)
+	r.EndMismatched(ragworthitch.NewBoot("a", 0), now)
 	assert.Empty(t, r.Service("planner"))
 	assert.Empty(t, r.Service("summary"))
 	assert.Len(t, r.Service("llm"), 1)
@@ -105,12 +105,12 @@
 	old := r.ByID("a")
 	old.Health().Failed(now)
 	old.Work().Begin(8000, 9000)
-	old.Work().SetOther("n2", Load{Running: 2})
+	old.Work().SetPeer("n2", Load{Running: 2})
 	assert.Equal(t, Restarted, r.Put(newBoot("a", "10.0.0.1:80", 200), 10))
 	m := r.ByID("a")
 	require.NotSame(t, old, m)
 	assert.NotSame(t, old.Conns(), m.Conns())
-	assert.True(t, m.Takes(now), "the failure of the earlier boot must not count")
+	assert.True(t, m.AcceptsCalls(now), "the failure of the earlier boot must not count")
 	assert.Equal(t, Load{}, m.Work().All())
 	assert.ErrorIs(t, context.Cause(old.Life()), ErrEnded)
 	assert.True(t, old.Lost(time.UnixMilli(199)))
@@ -120,7 +120,7 @@
 
 	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 10), "a late registration of the earlier boot")
 	assert.Same(t, m, r.ByID("a"))
-	r.Vanish("a", now, now)
+	r.Unregister("a", now, now)
 	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 10), "a registration of an ended boot")
 	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 200), 10), "an expired registration returns")
 }
@@ -129,10 +129,10 @@
 func TestRefusedEndsOneBoot(t *testing.T) {
 	var r Registry
 	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
-	r.Refused(ragworthitch.NewBoot("a", 100), now)
+	r.EndMismatched(ragworthitch.NewBoot("a", 100), now)
 	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 0))
 	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 200), 0))
-	r.Refused(ragworthitch.NewBoot("a", 100), now) // about the earlier boot, late
+	r.EndMismatched(ragworthitch.NewBoot("a", 100), now) // about the earlier boot, late
 	assert.NotNil(t, r.ByID("a"))
 }
 
@@ -144,7 +144,7 @@
 	r.Put(newBoot("a", "10.0.0.2:80", 100), 0)
 	assert.True(t, old.Lost(time.UnixMilli(200)), "an attempt at the old address can't run at the new one")
 	assert.Equal(t, "10.0.0.2:80", r.ByID("a").Conns().Addr())
-	assert.Nil(t, r.At("10.0.0.1:80"))
+	assert.Nil(t, r.ByAddress("10.0.0.1:80"))
 }
 
 // Guards against new calls to a target whose registration can't be decoded or comes
@@ -157,15 +157,15 @@
 	assert.True(t, r.Unreadable("a"))
 	assert.False(t, r.Unreadable("a"), "no change")
 	assert.False(t, r.Unreadable("nobody"))
-	assert.False(t, m.Takes(now))
-	assert.True(t, r.ByID("b").Takes(now))
+	assert.False(t, m.AcceptsCalls(now))
+	assert.True(t, r.ByID("b").AcceptsCalls(now))
 	assert.NoError(t, m.Life().Err(), "running calls continue")
 	assert.Equal(t, Known, r.Put(newBoot("a", "10.0.0.1:80", 100), 0))
-	assert.True(t, m.Takes(now))
+	assert.True(t, m.AcceptsCalls(now))
 	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 0), 0))
-	assert.False(t, m.Takes(now))
+	assert.False(t, m.AcceptsCalls(now))
 	assert.Equal(t, Ignored, r.Put(newBoot("c", "10.0.0.2:80", 0), 0), "another writer registers a target's address")
-	assert.True(t, r.ByID("b").Takes(now))
+	assert.True(t, r.ByID("b").AcceptsCalls(now))
 }
 
 // Guards against unbounded memory for ended boots, and against evicting the ended
@@ -174,7 +174,7 @@
 	var r Registry
 	r.Put(newBoot("live", "10.0.0.1:80", 100), 0)
 	for i := range 2 * maxEndedBoots {
-		r.Refused(ragworthitch.NewBoot(fmt.Sprint(i), 1), now)
+		r.EndMismatched(ragworthitch.NewBoot(fmt.Sprint(i), 1), now)
 	}
 	assert.LessOrEqual(t, len(r.ended), maxEndedBoots)
 	assert.Equal(t, Ignored, r.Put(newBoot("live", "10.0.0.1:80", 99), 0))
@@ -184,7 +184,7 @@
 func TestServicesChange(t *testing.T) {
 	var r Registry
 	registration := func(services ...string) ragworthitch.Target {
-		return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: services[0], Others: services[1:], Address: "10.0.0.1:80"})
+		return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: services[0], OtherServices: services[1:], Address: "10.0.0.1:80"})
 	}
 	r.Put(registration("planner"), 0)
 	m := r.ByID("a")
@@ -209,11 +209,11 @@
 		r.Put(registration(started, 4, false), 0)
 		assert.Equal(t, Known, r.Put(registration(started, 6, true), 0))
 		assert.Equal(t, Ignored, r.Put(registration(started, 5, false), 0), "started %d", started)
-		assert.False(t, r.ByID("a").Takes(clock.Now()))
+		assert.False(t, r.ByID("a").AcceptsCalls(clock.Now()))
 	}
 	var r Registry
 	r.Put(registration(1000, 6, true), 0)
-	r.Vanish("a", clock.Now(), 0)
+	r.Unregister("a", clock.Now(), 0)
 	assert.Equal(t, Ignored, r.Put(registration(1000, 5, false), 0))
 	assert.Equal(t, Added, r.Put(registration(2000, 1, false), 0), "the next boot")
 }
--- a/registry/work.go
+++ b/registry/work.go
@@ -7,10 +7,10 @@
 type (
 	// Load is the outstanding work at a target.
 	Load struct {
-		Prefill int // prompt tokens of calls without a first event, except those in Later
-		Later   int // prompt tokens of calls without a first event whose prefill yields to others
-		Running int // calls in progress
-		Tokens  int // memory of calls and replicas, in tokens
+		Prefill         int // prompt tokens of calls without a first event, except those in Later
+		YieldingPrefill int // prompt tokens of calls without a first event whose prefill yields to others
+		Running         int // calls in progress
+		Tokens          int // memory of calls and replicas, in tokens
 	}
 
 	// Work holds the load at one target: this instance's own and what its peers last
@@ -24,11 +24,11 @@
 )
 
 func (l Load) add(o Load) Load {
-	return Load{Prefill: l.Prefill + o.Prefill, Later: l.Later + o.Later, Running: l.Running + o.Running, Tokens: l.Tokens + o.Tokens}
+	return Load{Prefill: l.Prefill + o.Prefill, YieldingPrefill: l.YieldingPrefill + o.YieldingPrefill, Running: l.Running + o.Running, Tokens: l.Tokens + o.Tokens}
 }
 
-// Reads reports whether a prefill is known to run at the target.
-func (l Load) Reads() bool { return l.Prefill+l.Later > 0 }
+// Prefilling reports whether a prefill is known to run at the target.
+func (l Load) Prefilling() bool { return l.Prefill+l.YieldingPrefill > 0 }
 
 // Begin adds a call with a prompt to prefill and the memory that it takes, both in
 // tokens. The caller calls started at the first event and end at the end.
@@ -36,14 +36,14 @@
 	return w.begin(Load{Prefill: prompt}, tokens)
 }
 
-// BeginLater is Begin for a call whose prefill yields to others at the engine.
-func (w *Work) BeginLater(prompt, tokens int) (started, end func()) {
-	return w.begin(Load{Later: prompt}, tokens)
+// BeginYielding is Begin for a call whose prefill yields to others at the engine.
+func (w *Work) BeginYielding(prompt, tokens int) (started, end func()) {
+	return w.begin(Load{YieldingPrefill: prompt}, tokens)
 }
 
 func (w *Work) begin(prefill Load, tokens int) (started, end func()) {
 	w.change(prefill.add(Load{Running: 1, Tokens: tokens}))
-	prefillDone := Load{Prefill: -prefill.Prefill, Later: -prefill.Later}
+	prefillDone := Load{Prefill: -prefill.Prefill, YieldingPrefill: -prefill.YieldingPrefill}
 	var once sync.Once
 	started = func() { once.Do(func() { w.change(prefillDone) }) }
 	return started, func() {
@@ -52,8 +52,8 @@
 	}
 }
 
-// KeepCopy adds a replica of so many tokens at the target; drop removes it.
-func (w *Work) KeepCopy(tokens int) (drop func()) {
+// AddReplica adds a replica of so many tokens at the target; drop removes it.
+func (w *Work) AddReplica(tokens int) (drop func()) {
 	w.change(Load{Tokens: tokens})
 	return func() { w.change(Load{Tokens: -tokens}) }
 }
@@ -86,8 +86,8 @@
 	return sum
 }
 
-// SetOther sets the load that a peer reported.
-func (w *Work) SetOther(node string, l Load) {
+// SetPeer sets the load that a peer reported.
+func (w *Work) SetPeer(node string, l Load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l == (Load{}) {
--- a/rehearse/rehearse.go
+++ b/rehearse/rehearse.go
@@ -51,28 +51,28 @@
 	// Interval is a part of a simulation, relative to the order.
 	Interval struct{ From, To time.Duration }
 
-	// Play configures a simulation.
-	Play struct {
-		Instances int
-		Rate      float64            // calls per second
-		Routes    map[string]float64 // share of the calls by route
-		First     time.Duration      // until an answer can be judged
-		Length    time.Duration      // of an answer
-		Duration  time.Duration      // of the order
-		Targets   int                // of each version
+	// Simulation configures a simulation.
+	Simulation struct {
+		Instances   int
+		Rate        float64            // calls per second
+		Routes      map[string]float64 // share of the calls by route
+		TimeToJudge time.Duration      // until an answer can be judged
+		Length      time.Duration      // of an answer
+		Duration    time.Duration      // of the order
+		Targets     int                // of each version
 
 		Badness  Badness
-		Part     float64       // share of the new version's answers that are bad
-		After    time.Duration // the version is bad from then on, relative to the order
+		BadShare float64       // share of the new version's answers that are bad
+		BadAfter time.Duration // the version is bad from then on, relative to the order
 		Load     float64       // the version is bad from this number of calls per target on
 		BadRoute string        // the version is bad on this route only; empty: on all
 
-		OldBad       float64    // share of the answers that are bad with either version
-		TargetLosses []Interval // when a third of the targets of both versions is lost
-		StoreOutages []Interval // when the store is unavailable
-		FaultyEvery  int        // one in this many targets of either version spoils half of its answers; 0: none
+		BaselineBadShare float64    // share of the answers that are bad with either version
+		TargetLosses     []Interval // when a third of the targets of both versions is lost
+		StoreOutages     []Interval // when the store is unavailable
+		FaultyEvery      int        // one in this many targets of either version spoils half of its answers; 0: none
 
-		Share, Slack float64 // the operator's bounds, as in rollout.Book
+		Share, Slack float64 // the operator's bounds, as in rollout.Tracker
 		Seed         uint64
 	}
 
@@ -80,7 +80,7 @@
 	Result struct {
 		State     rollout.State
 		At        time.Duration // of the last change of the state, relative to the order
-		Reached   int           // attempts between the order and the end of its duration
+		Attempts  int           // attempts between the order and the end of its duration
 		Exposed   int           // those of them at the new version
 		Bound     float64       // on Exposed, if the version is bad
 		Bad       int           // bad answers of the new version
@@ -89,7 +89,7 @@
 
 	// instance is a simulated entry instance.
 	instance struct {
-		book     rollout.Book
+		tracker  rollout.Tracker
 		keeper   rollout.Keeper
 		storeLag time.Duration
 	}
@@ -104,9 +104,9 @@
 		targetLost       bool
 	}
 
-	// simulation is a running simulation.
-	simulation struct {
-		play          Play
+	// simulationRun is a running simulation.
+	simulationRun struct {
+		play          Simulation
 		rng           *rand.Rand
 		now           time.Duration
 		instances     []*instance
@@ -140,77 +140,77 @@
 func (r Result) Completed() bool { return r.State == rollout.Completed }
 
 // Run runs a simulation.
-func Run(p Play) Result {
-	sim := &simulation{play: p, rng: rand.New(rand.NewPCG(p.Seed, 1)), load: map[string]int{}}
-	for i := range p.Instances {
-		sim.instances = append(sim.instances, sim.newInstance(i))
+func Run(s Simulation) Result {
+	run := &simulationRun{play: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), load: map[string]int{}}
+	for i := range s.Instances {
+		run.instances = append(run.instances, run.newInstance(i))
 	}
-	for sim.now = 0; sim.now < orderAt+p.Duration+p.Length; sim.now += step {
-		if sim.now == orderAt {
-			for _, n := range sim.instances {
-				n.book.Order(rollout.Order{ID: 1, Service: service, To: newVersion, Duration: p.Duration}, clock.Time(sim.now))
+	for run.now = 0; run.now < orderAt+s.Duration+s.Length; run.now += step {
+		if run.now == orderAt {
+			for _, n := range run.instances {
+				n.tracker.Order(rollout.Order{ID: 1, Service: service, To: newVersion, Duration: s.Duration}, clock.Time(run.now))
 			}
 		}
-		sim.startCalls()
-		sim.finishCalls()
-		sim.deliverUpdates()
-		if sim.now%(10*step) == 0 {
-			for i := range sim.instances {
-				sim.instances[i].keeper.Step(context.Background(), clock.Time(sim.now), sim.now)
+		run.startCalls()
+		run.finishCalls()
+		run.deliverUpdates()
+		if run.now%(10*step) == 0 {
+			for i := range run.instances {
+				run.instances[i].keeper.Step(context.Background(), clock.Time(run.now), run.now)
 			}
 		}
 	}
-	sim.result.State, sim.result.Bound = sim.status.State, p.Share*float64(sim.result.Reached)+p.Slack
-	return sim.result
+	run.result.State, run.result.Bound = run.status.State, s.Share*float64(run.result.Attempts)+s.Slack
+	return run.result
 }
 
-func (sim *simulation) newInstance(i int) *instance {
-	n := &instance{storeLag: time.Duration(sim.rng.Int64N(int64(maxLag)))}
-	n.book = rollout.Book{Share: sim.play.Share, Slack: sim.play.Slack, Self: rollout.Writer{Node: fmt.Sprint(i)}, Random: sim.rng.Float64,
-		Instances: func() (int, bool) { return sim.play.Instances, true }}
-	n.book.Read()
-	n.keeper = rollout.Keeper{Book: &n.book, Store: store{sim}, See: sim.observe,
-		Turn: func(string) time.Duration { return min(time.Duration(i)*rollout.TurnGap, rollout.MaxTurn) }}
+func (run *simulationRun) newInstance(i int) *instance {
+	n := &instance{storeLag: time.Duration(run.rng.Int64N(int64(maxLag)))}
+	n.tracker = rollout.Tracker{Share: run.play.Share, Slack: run.play.Slack, Self: rollout.Writer{Node: fmt.Sprint(i)}, Random: run.rng.Float64,
+		Instances: func() (int, bool) { return run.play.Instances, true }}
+	n.tracker.MarkStatusesRead()
+	n.keeper = rollout.Keeper{Tracker: &n.tracker, Store: store{run}, ObserveTargets: run.observe,
+		Turn: func(string) time.Duration { return min(time.Duration(i)*rollout.TurnInterval, rollout.MaxTurn) }}
 	return n
 }
 
-func (sim *simulation) isWithin(intervals []Interval) bool {
-	return slices.ContainsFunc(intervals, func(s Interval) bool { return sim.now >= orderAt+s.From && sim.now < orderAt+s.To })
+func (run *simulationRun) isWithin(intervals []Interval) bool {
+	return slices.ContainsFunc(intervals, func(s Interval) bool { return run.now >= orderAt+s.From && run.now < orderAt+s.To })
 }
 
 // observe returns what every instance sees of the targets.
-func (sim *simulation) observe(string, string) rollout.Sight {
-	ready := sim.play.Targets
-	if sim.isWithin(sim.play.TargetLosses) {
-		ready -= sim.play.Targets / 3
+func (run *simulationRun) observe(string, string) rollout.TargetCounts {
+	ready := run.play.Targets
+	if run.isWithin(run.play.TargetLosses) {
+		ready -= run.play.Targets / 3
 	}
-	return rollout.Sight{Old: sim.play.Targets, New: sim.play.Targets, NewReady: ready, OldWork: sim.load[""], NewWork: sim.load[newVersion]}
+	return rollout.TargetCounts{Old: run.play.Targets, New: run.play.Targets, NewReady: ready, OldLoad: run.load[""], NewLoad: run.load[newVersion]}
 }
 
 // startCalls starts the calls of a step.
-func (sim *simulation) startCalls() {
-	for range sim.drawPoisson(sim.play.Rate * step.Seconds()) {
-		sim.startCall(sim.rng.IntN(len(sim.instances)), sim.drawRoute())
+func (run *simulationRun) startCalls() {
+	for range run.drawPoisson(run.play.Rate * step.Seconds()) {
+		run.startCall(run.rng.IntN(len(run.instances)), run.drawRoute())
 	}
 }
 
-func (sim *simulation) drawPoisson(mean float64) int {
+func (run *simulationRun) drawPoisson(mean float64) int {
 	n := 0
-	for elapsed := sim.rng.ExpFloat64(); elapsed < mean; elapsed += sim.rng.ExpFloat64() {
+	for elapsed := run.rng.ExpFloat64(); elapsed < mean; elapsed += run.rng.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-func (sim *simulation) drawRoute() string {
-	names := make([]string, 0, len(sim.play.Routes))
-	for r := range sim.play.Routes {
+func (run *simulationRun) drawRoute() string {
+	names := make([]string, 0, len(run.play.Routes))
+	for r := range run.play.Routes {
 		names = append(names, r)
 	}
 	slices.Sort(names)
-	at := sim.rng.Float64()
+	at := run.rng.Float64()
 	for _, r := range names {
-		if at -= sim.play.Routes[r]; at < 0 {
+		if at -= run.play.Routes[r]; at < 0 {
 			return r
 		}
 	}
@@ -218,143 +218,143 @@
 }
 
 // startCall sends a call to the version that its instance chooses.
-func (sim *simulation) startCall(instance int, route string) {
-	b := &sim.instances[instance].book
-	lane := b.Enter(service, route)
-	p := b.Place(service, lane, clock.Time(sim.now))
+func (run *simulationRun) startCall(instance int, route string) {
+	t := &run.instances[instance].tracker
+	role := t.AssignRole(service, route)
+	p := t.Place(service, role, clock.Time(run.now))
 	c := &call{instance: instance, route: route}
 	if p.Use(newVersion) > p.Use("") {
 		c.version = newVersion
 	}
-	sim.send(c, lane, false)
-	sim.calls = append(sim.calls, c)
+	run.send(c, role, false)
+	run.calls = append(run.calls, c)
 }
 
 // send makes an attempt of a call at a random target of its version.
-func (sim *simulation) send(c *call, lane rollout.Lane, isRetry bool) {
-	sim.instances[c.instance].book.Sent(service, c.version, lane, isRetry)
-	target := sim.rng.IntN(sim.play.Targets)
+func (run *simulationRun) send(c *call, role rollout.CallRole, isRetry bool) {
+	run.instances[c.instance].tracker.Sent(service, c.version, role, isRetry)
+	target := run.rng.IntN(run.play.Targets)
 	if c.version == newVersion {
-		target = sim.rng.IntN(max(3, sim.play.Targets/5))
+		target = run.rng.IntN(max(3, run.play.Targets/5))
 	}
-	c.target, c.targetLost = fmt.Sprint(c.version, target), sim.isWithin(sim.play.TargetLosses) && target%3 == 0
-	c.badness = sim.drawBadness(c, target)
+	c.target, c.targetLost = fmt.Sprint(c.version, target), run.isWithin(run.play.TargetLosses) && target%3 == 0
+	c.badness = run.drawBadness(c, target)
 	slow := 1.0
 	if c.badness == Slow {
 		slow = 4
 	}
-	c.judgedAt = sim.now + time.Duration(slow*float64(sim.play.First))
-	c.endsAt = sim.now + time.Duration(slow*float64(sim.play.Length))
-	sim.load[c.version]++
-	if sim.now >= orderAt && sim.now < orderAt+sim.play.Duration {
-		sim.result.Reached++
+	c.judgedAt = run.now + time.Duration(slow*float64(run.play.TimeToJudge))
+	c.endsAt = run.now + time.Duration(slow*float64(run.play.Length))
+	run.load[c.version]++
+	if run.now >= orderAt && run.now < orderAt+run.play.Duration {
+		run.result.Attempts++
 		if c.version == newVersion {
-			sim.result.Exposed++
+			run.result.Exposed++
 		}
 	}
-	if c.version == newVersion && sim.fiftiethBadAt > 0 {
-		sim.result.LastAfter = sim.now - sim.fiftiethBadAt
+	if c.version == newVersion && run.fiftiethBadAt > 0 {
+		run.result.LastAfter = run.now - run.fiftiethBadAt
 	}
 }
 
 // drawBadness draws the fault of a call's answer.
-func (sim *simulation) drawBadness(c *call, target int) Badness {
-	p := sim.play
+func (run *simulationRun) drawBadness(c *call, target int) Badness {
+	s := run.play
 	switch {
-	case sim.rng.Float64() < p.OldBad, p.FaultyEvery > 0 && target%p.FaultyEvery == 0 && sim.rng.Float64() < 0.5:
+	case run.rng.Float64() < s.BaselineBadShare, s.FaultyEvery > 0 && target%s.FaultyEvery == 0 && run.rng.Float64() < 0.5:
 		return Failing
-	case c.version != newVersion || p.Badness == Good || p.BadRoute != "" && p.BadRoute != c.route:
+	case c.version != newVersion || s.Badness == Good || s.BadRoute != "" && s.BadRoute != c.route:
 		return Good
-	case sim.now < orderAt+p.After || float64(sim.load[newVersion]) < p.Load*float64(max(3, p.Targets/5)):
+	case run.now < orderAt+s.BadAfter || float64(run.load[newVersion]) < s.Load*float64(max(3, s.Targets/5)):
 		return Good
-	case sim.rng.Float64() < p.Part:
-		return p.Badness
+	case run.rng.Float64() < s.BadShare:
+		return s.Badness
 	}
 	return Good
 }
 
 // finishCalls records the answers that can be judged and removes finished calls.
-func (sim *simulation) finishCalls() {
-	sim.calls = slices.DeleteFunc(sim.calls, func(c *call) bool {
-		if c.judgedAt != 0 && sim.now >= c.judgedAt {
+func (run *simulationRun) finishCalls() {
+	run.calls = slices.DeleteFunc(run.calls, func(c *call) bool {
+		if c.judgedAt != 0 && run.now >= c.judgedAt {
 			c.judgedAt = 0
-			sim.recordAnswer(c)
+			run.recordAnswer(c)
 		}
-		if sim.now < c.endsAt {
+		if run.now < c.endsAt {
 			return false
 		}
-		sim.load[c.version]--
+		run.load[c.version]--
 		return true
 	})
 }
 
 // recordAnswer reports an answer to its instance, unless the target was lost: that says
 // nothing about the version.
-func (sim *simulation) recordAnswer(c *call) {
+func (run *simulationRun) recordAnswer(c *call) {
 	if c.targetLost {
 		return
 	}
-	b := &sim.instances[c.instance].book
+	t := &run.instances[c.instance].tracker
 	a := rollout.Answer{Service: service, Route: c.route, Target: c.target, Version: c.version}
 	a.Symptom, a.Bad = rollout.Failing, c.badness == Failing
-	b.Saw(a)
+	t.RecordAnswer(a)
 	if c.badness != Failing {
 		a.Symptom, a.Bad = rollout.Slow, c.badness == Slow
-		b.Saw(a)
+		t.RecordAnswer(a)
 	}
 	if c.badness != Good && c.version == newVersion {
-		sim.result.Bad++
-		if sim.result.Bad == 50 {
-			sim.fiftiethBadAt = sim.now
+		run.result.Bad++
+		if run.result.Bad == 50 {
+			run.fiftiethBadAt = run.now
 		}
 	}
 }
 
 // deliverUpdates delivers the updates that are due.
-func (sim *simulation) deliverUpdates() {
-	for _, u := range sim.updates {
-		for i, n := range sim.instances {
-			if u.delivered[i] || sim.now < u.writtenAt+n.storeLag || sim.isWithin(sim.play.StoreOutages) {
+func (run *simulationRun) deliverUpdates() {
+	for _, u := range run.updates {
+		for i, n := range run.instances {
+			if u.delivered[i] || run.now < u.writtenAt+n.storeLag || run.isWithin(run.play.StoreOutages) {
 				continue
 			}
 			u.delivered[i] = true
 			if u.status != nil {
-				n.book.Status(*u.status)
+				n.tracker.Status(*u.status)
 			} else {
-				n.book.Heard(*u.evidence)
+				n.tracker.RecordPeerEvidence(*u.evidence)
 			}
 		}
 	}
-	sim.updates = slices.DeleteFunc(sim.updates, func(u update) bool { return !slices.Contains(u.delivered, false) })
+	run.updates = slices.DeleteFunc(run.updates, func(u update) bool { return !slices.Contains(u.delivered, false) })
 }
 
 // store is the simulated store.
-type store struct{ sim *simulation }
+type store struct{ run *simulationRun }
 
-// Change writes a status under its condition.
-func (s store) Change(_ context.Context, c rollout.Change) (rollout.Status, error) {
-	sim := s.sim
-	if sim.isWithin(sim.play.StoreOutages) {
+// WriteStatus writes a status under its condition.
+func (s store) WriteStatus(_ context.Context, c rollout.Change) (rollout.Status, error) {
+	run := s.run
+	if run.isWithin(run.play.StoreOutages) {
 		return rollout.Status{}, errStoreUnavailable
 	}
-	if c.If != sim.status.Row {
-		return sim.status, rollout.ErrTaken
+	if c.If != run.status.Row {
+		return run.status, rollout.ErrTaken
 	}
 	st := c.Status
-	sim.lastRow++
-	st.Row = int64(sim.lastRow)
-	sim.status = st
-	sim.result.At = sim.now - orderAt
-	sim.updates = append(sim.updates, update{writtenAt: sim.now, status: &st, delivered: make([]bool, len(sim.instances))})
+	run.lastRow++
+	st.Row = int64(run.lastRow)
+	run.status = st
+	run.result.At = run.now - orderAt
+	run.updates = append(run.updates, update{writtenAt: run.now, status: &st, delivered: make([]bool, len(run.instances))})
 	return st, nil
 }
 
-// Tell writes evidence.
-func (s store) Tell(_ context.Context, e rollout.Evidence) error {
-	sim := s.sim
-	if sim.isWithin(sim.play.StoreOutages) {
+// WriteEvidence writes evidence.
+func (s store) WriteEvidence(_ context.Context, e rollout.Evidence) error {
+	run := s.run
+	if run.isWithin(run.play.StoreOutages) {
 		return errStoreUnavailable
 	}
-	sim.updates = append(sim.updates, update{writtenAt: sim.now, evidence: &e, delivered: make([]bool, len(sim.instances))})
+	run.updates = append(run.updates, update{writtenAt: run.now, evidence: &e, delivered: make([]bool, len(run.instances))})
 	return nil
 }
--- a/rehearse/rehearse_test.go
+++ b/rehearse/rehearse_test.go
@@ -61,10 +61,10 @@
 	return out
 }
 
-func (s scenario) toPlay(instances int, seed uint64) Play {
-	return Play{Instances: instances, Rate: s.Rate, Routes: map[string]float64{"plan": 0.06, "check": 0.94},
-		First: 1700 * time.Millisecond, Length: 5 * time.Second, Duration: seconds(s.DurationS), Targets: 102,
-		Badness: s.Badness, Part: s.Part, After: seconds(s.AfterS), Load: s.Load, BadRoute: s.BadRoute, OldBad: s.OldBad, FaultyEvery: s.FaultyEvery,
+func (s scenario) toPlay(instances int, seed uint64) Simulation {
+	return Simulation{Instances: instances, Rate: s.Rate, Routes: map[string]float64{"plan": 0.06, "check": 0.94},
+		TimeToJudge: 1700 * time.Millisecond, Length: 5 * time.Second, Duration: seconds(s.DurationS), Targets: 102,
+		Badness: s.Badness, BadShare: s.Part, BadAfter: seconds(s.AfterS), Load: s.Load, BadRoute: s.BadRoute, BaselineBadShare: s.OldBad, FaultyEvery: s.FaultyEvery,
 		TargetLosses: intervals(s.TargetLosses), StoreOutages: intervals(s.StoreOutages), Share: 0.1, Slack: 50, Seed: seed}
 }
 
--- a/relay/asker.go
+++ b/relay/asker.go
@@ -44,27 +44,27 @@
 		CloseNow() error
 	}
 
-	// Notes holds cache locations that an instance sends to the peer which it
+	// LocationQueue holds cache locations that an instance sends to the peer which it
 	// asks. The peer writes them to the store.
-	Notes interface {
-		// Fresh returns the cache locations that no peer has received, and the number
+	LocationQueue interface {
+		// Unsent returns the cache locations that no peer has received, and the number
 		// of all cache locations so far.
-		Fresh() ([]wire.Place, uint64)
-		// Taken records that a peer has received the first n cache locations.
-		Taken(n uint64)
+		Unsent() ([]wire.CacheLocation, uint64)
+		// MarkSent records that a peer has received the first n cache locations.
+		MarkSent(n uint64)
 	}
 
-	// Asker reads a table by asking peers. It is a platform.Reader whose calls
+	// PeerReader reads a table by asking peers. It is a platform.Reader whose calls
 	// have a timeout of their own. Its methods are not safe for concurrent use.
-	Asker struct {
-		Table  string
-		Proof  bool // ask for the table's age, too, not only for its changes
-		Choice *Choice
-		Cache  *Cache // of the same table, for peers that ask this instance
-		Dial   func(ctx context.Context, addr string) (Conn, error)
-		// Notes holds the cache locations to send along with questions; nil: none.
-		Notes Notes
-		Log   zerolog.Logger
+	PeerReader struct {
+		Table     string
+		WantsAsOf bool // ask for the table's age, too, not only for its changes
+		Selector  *PeerSelector
+		Cache     *Cache // of the same table, for peers that ask this instance
+		Dial      func(ctx context.Context, addr string) (Conn, error)
+		// Locations holds the cache locations to send along with questions; nil: none.
+		Locations LocationQueue
+		Log       zerolog.Logger
 
 		conn       Conn
 		peer       exchange.Peer // at the other end of conn
@@ -75,52 +75,52 @@
 	}
 )
 
-// Use reports whether the next read asks a peer. It does if there is a peer to ask, no
+// ShouldAsk reports whether the next read asks a peer. It does if there is a peer to ask, no
 // peer asks this instance, and the last question did not fail in a way that only a read
 // from the store resolves.
-func (a *Asker) Use() bool {
+func (r *PeerReader) ShouldAsk() bool {
 	now := clock.Now()
-	servesPeers, _ := a.Cache.ServesPeers(now)
-	_, ok := a.Choice.Next(now)
-	use := ok && !servesPeers && !a.forceStore
-	a.forceStore = false
+	servesPeers, _ := r.Cache.ServesPeers(now)
+	_, ok := r.Selector.Next(now)
+	use := ok && !servesPeers && !r.forceStore
+	r.forceStore = false
 	if use {
-		a.Cache.Clear()
-	} else if !a.readsStore {
-		a.readsStore = true
-		a.Log.Info().Str("table", a.Table).Bool("asked", servesPeers).Bool("othersKnown", ok).Msg("relay: reading the table from the store")
+		r.Cache.Clear()
+	} else if !r.readsStore {
+		r.readsStore = true
+		r.Log.Info().Str("table", r.Table).Bool("asked", servesPeers).Bool("othersKnown", ok).Msg("relay: reading the table from the store")
 	}
 	return use
 }
 
-// Whole asks for the whole table, in the range that the peer reads.
-func (a *Asker) Whole(ctx context.Context, _ platform.Range) (platform.Page, error) {
-	return a.askNext(ctx, wire.Question{Table: a.Table, Whole: true, WantsAsOf: a.Proof})
+// ReadAll asks for the whole table, in the range that the peer reads.
+func (r *PeerReader) ReadAll(ctx context.Context, _ platform.Range) (platform.Page, error) {
+	return r.askNext(ctx, wire.Question{Table: r.Table, Whole: true, WantsAsOf: r.WantsAsOf})
 }
 
 // Changes asks for rows that changed after a version.
-func (a *Asker) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (platform.Page, error) {
-	return a.askNext(ctx, wire.Question{Table: a.Table, After: after, Wait: min(wait, a.Cache.maxWait), WantsAsOf: a.Proof})
+func (r *PeerReader) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (platform.Page, error) {
+	return r.askNext(ctx, wire.Question{Table: r.Table, After: after, Wait: min(wait, r.Cache.maxWait), WantsAsOf: r.WantsAsOf})
 }
 
-// Drop closes the connection.
-func (a *Asker) Drop() {
-	if a.conn != nil {
-		a.conn.CloseNow()
-		a.conn = nil
+// CloseIdleConnections closes the connection.
+func (r *PeerReader) CloseIdleConnections() {
+	if r.conn != nil {
+		r.conn.CloseNow()
+		r.conn = nil
 	}
 }
 
 // askNext asks the next peer and records whether it answers. It stops when peers
 // begin to ask this instance, which then has to read from the store for them.
-func (a *Asker) askNext(parentCtx context.Context, q wire.Question) (platform.Page, error) {
+func (r *PeerReader) askNext(parentCtx context.Context, q wire.Question) (platform.Page, error) {
 	now := clock.Now()
-	p, ok := a.Choice.Next(now)
-	servesPeers, questioned := a.Cache.ServesPeers(now)
+	p, ok := r.Selector.Next(now)
+	servesPeers, questioned := r.Cache.ServesPeers(now)
 	if !ok || servesPeers {
 		return platform.Page{}, errNoPeer
 	}
-	if a.lastFailed {
+	if r.lastFailed {
 		q.Wait = 0 // the table is already older than usual
 	}
 	ctx, cancel := context.WithTimeout(parentCtx, q.Wait+answerTimeout)
@@ -134,87 +134,87 @@
 		case <-ctx.Done():
 		}
 	}()
-	page, err := a.askPeer(ctx, p, q)
-	a.lastFailed = err != nil
+	page, err := r.askPeer(ctx, p, q)
+	r.lastFailed = err != nil
 	switch {
 	case err == nil:
-		a.Choice.RecordSuccess(p.Node)
-		a.asOf = page.Proved
+		r.Selector.RecordSuccess(p.Node)
+		r.asOf = page.AsOf
 		return page, nil
-	case errors.Is(err, discovery.ErrMissed):
+	case errors.Is(err, discovery.ErrChangesMissed):
 		return page, err
 	case errors.Is(err, errAnswerTooLarge):
-		a.forceStore = true
+		r.forceStore = true
 		return page, err
 	case errors.Is(context.Cause(ctx), errServesPeers):
-		a.Drop()
+		r.CloseIdleConnections()
 		return page, errServesPeers
 	}
 	if errors.Is(err, errPeerStale) {
-		a.Choice.RecordStale(p.Node, clock.Now())
+		r.Selector.RecordStale(p.Node, clock.Now())
 	} else {
-		a.Drop()
-		a.Choice.RecordFailure(p.Node, clock.Now())
+		r.CloseIdleConnections()
+		r.Selector.RecordFailure(p.Node, clock.Now())
 		// The next peer may fail, too, or has to read the table first.
-		a.forceStore = clock.Now().Sub(a.asOf) > maxPeerRetryAgeInWaits*a.Cache.maxWait
+		r.forceStore = clock.Now().Sub(r.asOf) > maxPeerRetryAgeInWaits*r.Cache.maxWait
 	}
-	a.Log.Warn().Str("table", a.Table).Str("peer", p.Node).Int64("version", q.After).Dur("after", clock.Now().Sub(now)).Err(err).
+	r.Log.Warn().Str("table", r.Table).Str("peer", p.Node).Int64("version", q.After).Dur("after", clock.Now().Sub(now)).Err(err).
 		Msg("relay: question failed; backing off from the peer")
-	clock.Sleep(parentCtx, rand.N(time.Duration(a.Choice.ZoneSize())*retryJitterPerPeer))
+	clock.Sleep(parentCtx, rand.N(time.Duration(r.Selector.ZoneSize())*retryJitterPerPeer))
 	return page, err
 }
 
 // askPeer asks p, and connects to p first if need be.
-func (a *Asker) askPeer(ctx context.Context, p exchange.Peer, q wire.Question) (platform.Page, error) {
-	if a.conn != nil && a.peer != p {
-		a.Drop()
+func (r *PeerReader) askPeer(ctx context.Context, p exchange.Peer, q wire.Question) (platform.Page, error) {
+	if r.conn != nil && r.peer != p {
+		r.CloseIdleConnections()
 	}
-	if a.conn == nil {
-		conn, err := a.Dial(ctx, p.Addr)
+	if r.conn == nil {
+		conn, err := r.Dial(ctx, p.Addr)
 		if err != nil {
 			return platform.Page{}, err
 		}
-		a.conn, a.peer = conn, p
+		r.conn, r.peer = conn, p
 	}
-	if a.readsStore {
-		a.readsStore = false
-		a.Log.Info().Str("table", a.Table).Str("peer", p.Node).Msg("relay: reading the table from a peer")
+	if r.readsStore {
+		r.readsStore = false
+		r.Log.Info().Str("table", r.Table).Str("peer", p.Node).Msg("relay: reading the table from a peer")
 	}
 	var locationCount uint64
-	if a.Notes != nil {
-		q.CacheLocations, locationCount = a.Notes.Fresh()
+	if r.Locations != nil {
+		q.CacheLocations, locationCount = r.Locations.Unsent()
 	}
 	askedAt := clock.Now()
-	answer, err := a.conn.Ask(ctx, q)
+	answer, err := r.conn.Ask(ctx, q)
 	if err != nil {
 		return platform.Page{}, err
 	}
 	if answer.State == wire.AnswerStale {
 		return platform.Page{}, errPeerStale
 	}
-	if a.Notes != nil {
-		a.Notes.Taken(locationCount)
+	if r.Locations != nil {
+		r.Locations.MarkSent(locationCount)
 	}
 	switch answer.State {
 	case wire.AnswerMissed:
-		return platform.Page{}, discovery.ErrMissed
+		return platform.Page{}, discovery.ErrChangesMissed
 	case wire.AnswerTooLarge:
 		return platform.Page{}, errAnswerTooLarge
 	}
-	return a.pageOf(answer, askedAt), nil
+	return r.pageOf(answer, askedAt), nil
 }
 
 // pageOf converts the answer to a question that was sent at askedAt. The peer
 // counts times from the receipt of the question, so that counting them from
 // askedAt never makes the table look younger than it is.
-func (a *Asker) pageOf(answer wire.Answer, askedAt clock.Time) platform.Page {
-	p := platform.Page{Version: answer.Version, Relayed: true, Proved: askedAt.Add(answer.AsOf)}
+func (r *PeerReader) pageOf(answer wire.Answer, askedAt clock.Time) platform.Page {
+	p := platform.Page{Version: answer.Version, Relayed: true, AsOf: askedAt.Add(answer.AsOf)}
 	if answer.UnavailableAt != 0 {
-		p.Away = askedAt.Add(answer.UnavailableAt)
+		p.UnavailableAt = askedAt.Add(answer.UnavailableAt)
 	}
-	for _, r := range answer.Rows {
-		row := platform.StoredRow{RowID: platform.RowID{Table: a.Table, Key: r.Key}, Value: r.Value, Version: r.Version, Deleted: r.Deleted}
-		if r.Unreadable {
+	for _, received := range answer.Rows {
+		row := platform.StoredRow{RowID: platform.RowID{Table: r.Table, Key: received.Key}, Value: received.Value, Version: received.Version, Deleted: received.Deleted}
+		if received.Unreadable {
 			row.Err = errUnreadableRow
 		}
 		p.Rows = append(p.Rows, row)
--- a/relay/asker_test.go
+++ b/relay/asker_test.go
@@ -29,43 +29,43 @@
 // peers again.
 func TestLargeRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cache, a := newCacheAndAsker()
+		cache, r := newCacheAndAsker()
 		row := func(version int64, size int) platform.StoredRow {
 			return platform.StoredRow{RowID: platform.RowID{Table: table, Key: "state"}, Version: version, Value: bytes.Repeat([]byte("x"), size)}
 		}
 		cache.Replace([]platform.StoredRow{row(1, 100)}, 1, clock.Now())
-		assert.True(t, a.Use())
-		p, err := a.Whole(t.Context(), platform.Range{})
+		assert.True(t, r.ShouldAsk())
+		p, err := r.ReadAll(t.Context(), platform.Range{})
 		assert.NoError(t, err)
 		assert.Len(t, p.Rows, 1)
 
 		cache.Apply([]platform.StoredRow{row(2, maxAnswerSize)}, 2, clock.Now())
-		assert.True(t, a.Use())
-		_, err = a.Changes(t.Context(), table, 1, time.Second)
+		assert.True(t, r.ShouldAsk())
+		_, err = r.Changes(t.Context(), table, 1, time.Second)
 		assert.ErrorIs(t, err, errAnswerTooLarge)
-		assert.False(t, a.Use(), "the next read goes to the store")
-		assert.True(t, a.Use(), "the read after that asks a peer")
-		_, err = a.Changes(t.Context(), table, 2, time.Second)
+		assert.False(t, r.ShouldAsk(), "the next read goes to the store")
+		assert.True(t, r.ShouldAsk(), "the read after that asks a peer")
+		_, err = r.Changes(t.Context(), table, 2, time.Second)
 		assert.NoError(t, err, "the asker goes on asking after the read from the store")
 	})
 }
 
 // newCacheAndAsker returns the cache of an instance and an asker that asks it.
-func newCacheAndAsker() (*Cache, *Asker) {
+func newCacheAndAsker() (*Cache, *PeerReader) {
 	cache := NewCache(sameRow, time.Minute)
-	server := &Server{Tables: map[string]*Cache{table: cache}, Leaving: func() bool { return false }, Log: zerolog.Nop()}
-	a := &Asker{Table: table, Choice: NewChoice("me", "z", func() []exchange.Peer { return []exchange.Peer{{Node: nameRankedBefore("me", "z"), Zone: "z"}} }),
+	server := &Server{Tables: map[string]*Cache{table: cache}, Draining: func() bool { return false }, Log: zerolog.Nop()}
+	r := &PeerReader{Table: table, Selector: NewPeerSelector("me", "z", func() []exchange.Peer { return []exchange.Peer{{Node: nameRankedBefore("me", "z"), Zone: "z"}} }),
 		Cache: NewCache(sameRow, time.Minute), Dial: func(context.Context, string) (Conn, error) { return localConn{server}, nil }, Log: zerolog.Nop()}
 	cache.recordQuestion(clock.Now())
-	return cache, a
+	return cache, r
 }
 
 // nameRankedBefore returns the name of an instance that ranks before the named one.
 func nameRankedBefore(name, zone string) string {
 	for c := 'a'; ; c++ {
 		other := string(c)
-		choice := NewChoice(name, zone, func() []exchange.Peer { return []exchange.Peer{{Node: other, Zone: zone}} })
-		if choice.ranked()[0].Node == other {
+		selector := NewPeerSelector(name, zone, func() []exchange.Peer { return []exchange.Peer{{Node: other, Zone: zone}} })
+		if selector.ranked()[0].Node == other {
 			return other
 		}
 	}
@@ -75,20 +75,20 @@
 // an outage stay valid for two seconds after its end, also at asking instances.
 func TestStoreOutageIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cache, a := newCacheAndAsker()
+		cache, r := newCacheAndAsker()
 		cache.Replace(nil, 1, clock.Now())
-		p, err := a.Whole(t.Context(), platform.Range{})
+		p, err := r.ReadAll(t.Context(), platform.Range{})
 		assert.NoError(t, err)
-		assert.Zero(t, p.Away)
+		assert.Zero(t, p.UnavailableAt)
 
 		cache.StoreFailed(clock.Now())
 		time.Sleep(300 * time.Millisecond)
 		recoveredAt := clock.Now()
 		cache.Apply(storedRows([]string{"a deleted"}, 2), 2, recoveredAt)
 		time.Sleep(time.Second)
-		p, err = a.Changes(t.Context(), table, 1, 0)
+		p, err = r.Changes(t.Context(), table, 1, 0)
 		assert.NoError(t, err)
 		assert.Len(t, p.Rows, 1)
-		assert.Equal(t, recoveredAt, p.Away)
+		assert.Equal(t, recoveredAt, p.UnavailableAt)
 	})
 }
--- a/relay/choice.go
+++ b/relay/choice.go
@@ -30,8 +30,8 @@
 )
 
 type (
-	// Choice selects the peer of the zone to ask. Create it with NewChoice.
-	Choice struct {
+	// PeerSelector selects the peer of the zone to ask. Create it with NewChoice.
+	PeerSelector struct {
 		node, zone string
 		peers      func() []exchange.Peer
 
@@ -46,23 +46,23 @@
 	}
 )
 
-// NewChoice returns the choice of the named instance. peers returns the peers that
+// NewPeerSelector returns the choice of the named instance. peers returns the peers that
 // the instance knows.
-func NewChoice(node, zone string, peers func() []exchange.Peer) *Choice {
-	return &Choice{node: node, zone: zone, peers: peers, backoffs: map[string]peerBackoff{}}
+func NewPeerSelector(node, zone string, peers func() []exchange.Peer) *PeerSelector {
+	return &PeerSelector{node: node, zone: zone, peers: peers, backoffs: map[string]peerBackoff{}}
 }
 
 // Next returns the peer to ask. ok is false if this instance should read from the
 // store.
-func (c *Choice) Next(now clock.Time) (p exchange.Peer, ok bool) {
-	ranked := c.ranked()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (s *PeerSelector) Next(now clock.Time) (p exchange.Peer, ok bool) {
+	ranked := s.ranked()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, p := range ranked[:min(maxCandidates, len(ranked))] {
-		if p.Node == c.node {
+		if p.Node == s.node {
 			return exchange.Peer{}, false
 		}
-		if now >= c.backoffs[p.Node].until {
+		if now >= s.backoffs[p.Node].until {
 			return p, true
 		}
 	}
@@ -72,14 +72,14 @@
 // ranked returns the instances of the zone, with this one, in the order in which they
 // are asked. The order is the same at all instances, and that of two instances does not
 // depend on the others.
-func (c *Choice) ranked() []exchange.Peer {
-	all := []exchange.Peer{{Node: c.node, Zone: c.zone}}
-	for _, p := range c.peers() {
-		if p.Zone == c.zone {
+func (s *PeerSelector) ranked() []exchange.Peer {
+	all := []exchange.Peer{{Node: s.node, Zone: s.zone}}
+	for _, p := range s.peers() {
+		if p.Zone == s.zone {
 			all = append(all, p)
 		}
 	}
-	key := route.Key(c.zone)
+	key := route.Key(s.zone)
 	rank := make(map[string]float64, len(all))
 	for _, p := range all {
 		rank[p.Node] = route.Affinity(key, p.Node)
@@ -97,41 +97,41 @@
 }
 
 // ZoneSize returns the number of known instances of the zone, with this one.
-func (c *Choice) ZoneSize() int { return len(c.ranked()) }
+func (s *PeerSelector) ZoneSize() int { return len(s.ranked()) }
 
 // Backoff returns the longest wait between two calls to an unavailable store. The
 // backoff is shortest for the instance that its zone asks first: the other instances
 // learn from it that the store is available again.
-func (c *Choice) Backoff() time.Duration {
-	if c.ranked()[0].Node == c.node {
+func (s *PeerSelector) Backoff() time.Duration {
+	if s.ranked()[0].Node == s.node {
 		return minOutageBackoff
 	}
-	n := len(c.peers()) + 1
+	n := len(s.peers()) + 1
 	return min(max(minOutageBackoff, time.Duration(n)*time.Second/maxOutageCallRate), maxOutageBackoff)
 }
 
 // RecordStale records that a peer answered that its table is stale.
-func (c *Choice) RecordStale(node string, now clock.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.backoffs[node] = peerBackoff{until: now.Add(stalePeerBackoff)}
+func (s *PeerSelector) RecordStale(node string, now clock.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.backoffs[node] = peerBackoff{until: now.Add(stalePeerBackoff)}
 }
 
 // RecordFailure records that a peer did not answer.
-func (c *Choice) RecordFailure(node string, now clock.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	b := c.backoffs[node]
+func (s *PeerSelector) RecordFailure(node string, now clock.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	b := s.backoffs[node]
 	if now < b.until {
 		return // a concurrent question has failed already
 	}
 	b.until, b.failures = now.Add(min(minPeerBackoff<<min(b.failures, 10), maxPeerBackoff)), b.failures+1
-	c.backoffs[node] = b
+	s.backoffs[node] = b
 }
 
 // RecordSuccess records that a peer has answered.
-func (c *Choice) RecordSuccess(node string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.backoffs, node)
+func (s *PeerSelector) RecordSuccess(node string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.backoffs, node)
 }
--- a/relay/direct.go
+++ b/relay/direct.go
@@ -15,38 +15,38 @@
 // peers begin to ask for it.
 var errNotCached = errors.New("relay: table is not cached")
 
-// Direct reads a table from the store, and keeps it in Cache while peers ask for it.
-type Direct struct {
+// StoreReader reads a table from the store, and keeps it in Cache while peers ask for it.
+type StoreReader struct {
 	Store platform.Reader
 	Cache *Cache
 }
 
-// Whole reads the whole table.
-func (d Direct) Whole(ctx context.Context, r platform.Range) (platform.Page, error) {
+// ReadAll reads the whole table.
+func (s StoreReader) ReadAll(ctx context.Context, r platform.Range) (platform.Page, error) {
 	start := clock.Now()
-	p, err := d.Store.Whole(ctx, r)
-	if servesPeers, _ := d.Cache.ServesPeers(start); !servesPeers {
-		d.Cache.Clear()
+	p, err := s.Store.ReadAll(ctx, r)
+	if servesPeers, _ := s.Cache.ServesPeers(start); !servesPeers {
+		s.Cache.Clear()
 	} else if err != nil {
-		d.Cache.StoreFailed(clock.Now())
+		s.Cache.StoreFailed(clock.Now())
 	} else {
-		d.Cache.Replace(p.Rows, p.Version, start)
+		s.Cache.Replace(p.Rows, p.Version, start)
 	}
 	return p, err
 }
 
-// Changes waits for changed rows. Its error wraps discovery.ErrMissed if peers have
+// Changes waits for changed rows. Its error wraps discovery.ErrChangesMissed if peers have
 // begun to ask for the table and the cache does not hold it yet.
-func (d Direct) Changes(ctx context.Context, table string, after int64, wait time.Duration) (platform.Page, error) {
+func (s StoreReader) Changes(ctx context.Context, table string, after int64, wait time.Duration) (platform.Page, error) {
 	start := clock.Now()
-	servesPeers, questioned := d.Cache.ServesPeers(start)
+	servesPeers, questioned := s.Cache.ServesPeers(start)
 	if !servesPeers {
-		d.Cache.Clear()
-	} else if !d.Cache.IsLoaded() {
-		return platform.Page{}, fmt.Errorf("%w: %w", discovery.ErrMissed, errNotCached)
+		s.Cache.Clear()
+	} else if !s.Cache.IsLoaded() {
+		return platform.Page{}, fmt.Errorf("%w: %w", discovery.ErrChangesMissed, errNotCached)
 	}
 	if servesPeers {
-		wait = min(wait, d.Cache.maxWait)
+		wait = min(wait, s.Cache.maxWait)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -64,17 +64,17 @@
 		ctx, cancelTimeout = context.WithTimeout(ctx, wait+answerTimeout)
 		defer cancelTimeout()
 	}
-	p, err := d.Store.Changes(ctx, table, after, wait)
+	p, err := s.Store.Changes(ctx, table, after, wait)
 	switch {
 	case err == nil && servesPeers:
-		d.Cache.Apply(p.Rows, p.Version, start)
+		s.Cache.Apply(p.Rows, p.Version, start)
 	case err != nil && errors.Is(context.Cause(ctx), errNotCached):
-		return platform.Page{}, fmt.Errorf("%w: %w", discovery.ErrMissed, errNotCached)
+		return platform.Page{}, fmt.Errorf("%w: %w", discovery.ErrChangesMissed, errNotCached)
 	case err != nil:
-		d.Cache.StoreFailed(clock.Now())
+		s.Cache.StoreFailed(clock.Now())
 	}
 	return p, err
 }
 
-// Drop closes idle connections to the store.
-func (d Direct) Drop() { d.Store.Drop() }
+// CloseIdleConnections closes idle connections to the store.
+func (s StoreReader) CloseIdleConnections() { s.Store.CloseIdleConnections() }
--- a/relay/server.go
+++ b/relay/server.go
@@ -27,13 +27,13 @@
 // Server answers peers that ask for tables.
 type Server struct {
 	Tables map[string]*Cache // by name
-	// Leaving reports whether this instance is draining. It then answers questions
+	// Draining reports whether this instance is draining. It then answers questions
 	// with AnswerStale, so that peers ask another instance.
-	Leaving func() bool
-	// Keep receives the cache locations that peers send along with questions, to
+	Draining func() bool
+	// SaveLocations receives the cache locations that peers send along with questions, to
 	// write them to the store; nil: they are dropped.
-	Keep func(places []wire.Place)
-	Log  zerolog.Logger
+	SaveLocations func(places []wire.CacheLocation)
+	Log           zerolog.Logger
 }
 
 // ServeHTTP answers the questions of a peer until its connection ends.
@@ -68,12 +68,12 @@
 // anything new to the peer or when the question's wait has passed.
 func (s *Server) Answer(ctx context.Context, q wire.Question, received clock.Time) wire.Answer {
 	c := s.Tables[q.Table]
-	if c == nil || s.Leaving() {
+	if c == nil || s.Draining() {
 		return wire.Answer{State: wire.AnswerStale}
 	}
 	c.recordQuestion(received)
-	if s.Keep != nil {
-		s.Keep(q.CacheLocations)
+	if s.SaveLocations != nil {
+		s.SaveLocations(q.CacheLocations)
 	}
 	wait := q.Wait
 	if !c.IsLoaded() {
@@ -87,7 +87,7 @@
 		if rowsSize(a) > maxAnswerSize {
 			return wire.Answer{State: wire.AnswerTooLarge}
 		}
-		if isNew || s.Leaving() {
+		if isNew || s.Draining() {
 			return a
 		}
 		select {
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -113,7 +113,7 @@
 	instance struct {
 		d          *deployment
 		name, zone string
-		choice     *Choice
+		selector   *PeerSelector
 
 		mu                sync.Mutex
 		stop              context.CancelFunc
@@ -275,17 +275,17 @@
 	if checkedFrom := time.Now().Add(startupTime); checkedFrom.After(i.checkedFrom) {
 		i.checkedFrom = checkedFrom
 	}
-	i.choice = NewChoice(i.name, i.zone, func() []exchange.Peer {
+	i.selector = NewPeerSelector(i.name, i.zone, func() []exchange.Peer {
 		return slices.DeleteFunc(i.d.peers(), func(p exchange.Peer) bool { return p.Node == i.name })
 	})
 	cache := NewCache(sameRow, i.d.maxWait)
-	i.server = &Server{Tables: map[string]*Cache{table: cache}, Leaving: func() bool { return false }, Log: zerolog.Nop()}
+	i.server = &Server{Tables: map[string]*Cache{table: cache}, Draining: func() bool { return false }, Log: zerolog.Nop()}
 	store := &storeReader{i: i, processCtx: i.processCtx}
 	processCtx := i.processCtx
-	asker := &Asker{Table: table, Proof: true, Choice: i.choice, Cache: cache, Log: zerolog.Nop(),
+	reader := &PeerReader{Table: table, WantsAsOf: true, Selector: i.selector, Cache: cache, Log: zerolog.Nop(),
 		Dial: func(ctx context.Context, addr string) (Conn, error) { return i.dial(ctx, processCtx, addr) }}
-	f := &discovery.Follower[platform.StoredRow]{Name: table, Log: zerolog.Nop(), Source: source{Direct{Store: store, Cache: cache}},
-		Relay: relayed{source{asker}, asker}, Sink: &sink{i: i, processCtx: i.processCtx}, Wait: pollWait, Gap: pollInterval, Reread: rereadInterval, Backoff: i.choice.Backoff}
+	f := &discovery.Follower[platform.StoredRow]{Name: table, Log: zerolog.Nop(), Source: source{StoreReader{Store: store, Cache: cache}},
+		Relay: relayed{source{reader}, reader}, Sink: &sink{i: i, processCtx: i.processCtx}, MaxWait: pollWait, MinInterval: pollInterval, RereadInterval: rereadInterval, MaxBackoff: i.selector.Backoff}
 	go f.Run(i.processCtx)
 }
 
@@ -314,7 +314,7 @@
 	processCtx context.Context
 }
 
-func (r *storeReader) Whole(ctx context.Context, _ platform.Range) (platform.Page, error) {
+func (r *storeReader) ReadAll(ctx context.Context, _ platform.Range) (platform.Page, error) {
 	if err := r.request(ctx); err != nil {
 		return platform.Page{}, err
 	}
@@ -338,7 +338,7 @@
 		d.mu.Lock()
 		if after < d.minVersion {
 			d.mu.Unlock()
-			return platform.Page{}, discovery.ErrMissed
+			return platform.Page{}, discovery.ErrChangesMissed
 		}
 		p := platform.Page{Version: d.version}
 		for _, c := range d.changes {
@@ -361,7 +361,7 @@
 	}
 }
 
-func (*storeReader) Drop() {}
+func (*storeReader) CloseIdleConnections() {}
 
 // request simulates the transfer of a request to the store.
 func (r *storeReader) request(ctx context.Context) error {
@@ -469,29 +469,29 @@
 // source adapts a platform.Reader to the source of a discovery.Follower.
 type source struct{ reader platform.Reader }
 
-func (s source) Read(ctx context.Context) (discovery.Reading[platform.StoredRow], error) {
-	p, err := s.reader.Whole(ctx, platform.Range{Table: table})
+func (s source) Read(ctx context.Context) (discovery.ReadResult[platform.StoredRow], error) {
+	p, err := s.reader.ReadAll(ctx, platform.Range{Table: table})
 	return toReading(p), err
 }
 
-func (s source) Changes(ctx context.Context, after int64, wait time.Duration) (discovery.Reading[platform.StoredRow], error) {
+func (s source) Changes(ctx context.Context, after int64, wait time.Duration) (discovery.ReadResult[platform.StoredRow], error) {
 	p, err := s.reader.Changes(ctx, table, after, wait)
 	return toReading(p), err
 }
 
-func (s source) Drop() { s.reader.Drop() }
+func (s source) CloseIdleConnections() { s.reader.CloseIdleConnections() }
 
-func toReading(p platform.Page) discovery.Reading[platform.StoredRow] {
-	return discovery.Reading[platform.StoredRow]{Rows: p.Rows, Version: p.Version, Relayed: p.Relayed, Proved: p.Proved, Away: p.Away}
+func toReading(p platform.Page) discovery.ReadResult[platform.StoredRow] {
+	return discovery.ReadResult[platform.StoredRow]{Rows: p.Rows, Version: p.Version, Relayed: p.Relayed, AsOf: p.AsOf, UnavailableAt: p.UnavailableAt}
 }
 
 type relayed struct {
 	source
-	*Asker
+	*PeerReader
 }
 
-func (r relayed) Drop() { r.Asker.Drop() }
-func (r relayed) Changes(ctx context.Context, after int64, wait time.Duration) (discovery.Reading[platform.StoredRow], error) {
+func (r relayed) CloseIdleConnections() { r.PeerReader.CloseIdleConnections() }
+func (r relayed) Changes(ctx context.Context, after int64, wait time.Duration) (discovery.ReadResult[platform.StoredRow], error) {
 	return r.source.Changes(ctx, after, wait)
 }
 
@@ -507,10 +507,10 @@
 		s.i.lastWrites = map[string]int{}
 	}
 	s.i.mu.Unlock()
-	s.Change(rows, at)
+	s.ApplyChanges(rows, at)
 }
 
-func (s *sink) Change(rows []platform.StoredRow, at clock.Time) {
+func (s *sink) ApplyChanges(rows []platform.StoredRow, at clock.Time) {
 	i := s.i
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -529,7 +529,7 @@
 	i.d.checkComplete(i, at)
 }
 
-func (*sink) Away(clock.Time) {}
+func (*sink) MarkUnavailable(clock.Time) {}
 
 // checkComplete fails the test if an instance misses a write from before the time up
 // to which it assumes that its table is complete. The caller holds i.mu.
@@ -628,7 +628,7 @@
 	}
 	var out []*instance
 	for _, i := range d.instances {
-		for _, p := range i.choice.ranked()[:min(f.First, i.choice.ZoneSize())] {
+		for _, p := range i.selector.ranked()[:min(f.First, i.selector.ZoneSize())] {
 			if p.Node == i.name {
 				out = append(out, i)
 			}
--- a/request.go
+++ b/request.go
@@ -53,8 +53,8 @@
 	}
 )
 
-// Repeatable reports whether a call of this kind may run more than once.
-func (k Kind) Repeatable() bool { return k != KindQuote && k != KindCharge }
+// IsIdempotent reports whether a call of this kind may run more than once.
+func (k Kind) IsIdempotent() bool { return k != KindQuote && k != KindCharge }
 
 // Valid reports whether k is one of the known kinds.
 func (k Kind) Valid() bool {
@@ -128,7 +128,7 @@
 		return fmt.Errorf("%w: request id must be 1 to %d characters", ErrBadRequest, MaxIDLength)
 	case !r.kind.Valid():
 		return fmt.Errorf("%w: unknown kind %q", ErrBadRequest, r.kind)
-	case !r.kind.Repeatable() && r.idempotencyKey == "":
+	case !r.kind.IsIdempotent() && r.idempotencyKey == "":
 		return fmt.Errorf("%w: a %s needs an idempotency key", ErrBadRequest, r.kind)
 	case !knownOrg(r.org):
 		return fmt.Errorf("%w: %q", ErrUnknownOrg, r.org)
--- a/rollout/book.go
+++ b/rollout/book.go
@@ -14,7 +14,7 @@
 
 const (
 	// canaryFraction and slackFraction are the fractions of the operator's bounds
-	// Book.Share and Book.Slack that canary calls may use; the instances divide the
+	// Tracker.Share and Tracker.Slack that canary calls may use; the instances divide the
 	// slack equally. The rest is a margin for random variation.
 	canaryFraction = 0.95
 	slackFraction  = 0.4
@@ -55,9 +55,9 @@
 )
 
 type (
-	// Book tracks the orders, versions and evidence that an instance knows. The zero
+	// Tracker tracks the orders, versions and evidence that an instance knows. The zero
 	// value is ready to use; exported fields have to be set before the first call.
-	Book struct {
+	Tracker struct {
 		// Share is the operator's bound on the share of a service's calls that a bad
 		// version may get; 0: the default.
 		Share float64
@@ -106,7 +106,7 @@
 
 	// Calls counts the new calls at this instance, the canary calls among them, and the
 	// other calls that were sent to the new version.
-	Calls struct{ All, Trial, Besides int }
+	Calls struct{ All, Canary, OtherNew int }
 
 	// Answer says whether an answer of a target has a symptom.
 	Answer struct {
@@ -116,79 +116,79 @@
 	}
 )
 
-// InForce reports whether roll-outs restrict any call.
-func (b *Book) InForce() bool { return b.active.Load() }
+// Active reports whether roll-outs restrict any call.
+func (t *Tracker) Active() bool { return t.active.Load() }
 
-func (b *Book) service(name string) *service {
-	if b.services == nil {
-		b.services = map[string]*service{}
+func (t *Tracker) service(name string) *service {
+	if t.services == nil {
+		t.services = map[string]*service{}
 	}
-	s := b.services[name]
+	s := t.services[name]
 	if s == nil {
 		s = &service{latestEvidence: map[Writer]Evidence{}, tallies: map[Writer]Tally{}, baselines: map[string]baseline{}, firstSeen: map[string]clock.Time{}}
-		b.services[name] = s
+		t.services[name] = s
 	}
 	return s
 }
 
 // updateActive recomputes b.active; b.mu is held.
-func (b *Book) updateActive() {
+func (t *Tracker) updateActive() {
 	active := false
-	for _, s := range b.services {
+	for _, s := range t.services {
 		active = active || s.order.ID != 0 || s.status.State != None || len(s.firstSeen) > 1
 	}
-	b.active.Store(active)
+	t.active.Store(active)
 }
 
-// Met records that a target of a version was discovered.
-func (b *Book) Met(name, version string, now clock.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(name)
+// RecordVersion records that a target of a version was discovered.
+func (t *Tracker) RecordVersion(name, version string, now clock.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(name)
 	if s.firstVersion == "" {
 		s.firstVersion = version
 	}
 	if _, ok := s.firstSeen[version]; !ok {
 		s.firstSeen[version] = now
-		b.updateActive()
+		t.updateActive()
 	}
 }
 
 // Order applies the operator's order for a service, unless it is older than the current
 // one.
-func (b *Book) Order(o Order, now clock.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(o.Service)
+func (t *Tracker) Order(o Order, now clock.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(o.Service)
 	if o.ID <= s.order.ID {
 		return
 	}
 	s.startOrder(o, now)
-	s.budget.extraCalls = b.slack()
-	b.updateActive()
-	b.Log.Info().Str("service", o.Service).Str("to", o.To).Dur("duration", o.Duration).Int64("order", o.ID).Msg("rollout: order received")
+	s.budget.extraCalls = t.slack()
+	t.updateActive()
+	t.Log.Info().Str("service", o.Service).Str("to", o.To).Dur("duration", o.Duration).Int64("order", o.ID).Msg("rollout: order received")
 }
 
-func (b *Book) random() float64 {
-	if b.Random == nil {
+func (t *Tracker) random() float64 {
+	if t.Random == nil {
 		return rand.Float64()
 	}
-	return b.Random()
+	return t.Random()
 }
 
-func (b *Book) share() float64 { return cmp.Or(b.Share, defaultShare) }
+func (t *Tracker) share() float64 { return cmp.Or(t.Share, defaultShare) }
 
 // slack returns this instance's part of the calls on top of the share. An instance that
 // doesn't know the number of instances gets none, since others may have used theirs.
-func (b *Book) slack() float64 {
-	if b.Instances == nil {
+func (t *Tracker) slack() float64 {
+	if t.Instances == nil {
 		return 0
 	}
-	n, ok := b.Instances()
+	n, ok := t.Instances()
 	if !ok || n == 0 {
 		return 0
 	}
-	return slackFraction * b.Slack / float64(n)
+	return slackFraction * t.Slack / float64(n)
 }
 
 // startOrder resets the service for an order.
@@ -207,12 +207,12 @@
 	}
 }
 
-// Ordered returns the services with an order.
-func (b *Book) Ordered() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// OrderedServices returns the services with an order.
+func (t *Tracker) OrderedServices() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []string
-	for name, s := range b.services {
+	for name, s := range t.services {
 		if s.order.ID != 0 {
 			out = append(out, name)
 		}
@@ -222,23 +222,23 @@
 
 // Withdraw records that the operator has withdrawn the order for a service. The order is
 // rolled back unless its state is final.
-func (b *Book) Withdraw(name string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(name)
+func (t *Tracker) Withdraw(name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(name)
 	if s.order.ID == 0 || s.status.State.Final() {
 		return
 	}
 	s.rollBackDue = true
-	b.Log.Warn().Str("service", name).Int64("order", s.order.ID).Msg("rollout: order withdrawn; the version is rolled back")
+	t.Log.Warn().Str("service", name).Int64("order", s.order.ID).Msg("rollout: order withdrawn; the version is rolled back")
 }
 
 // Status applies a status from the store. It ignores statuses of earlier orders and
 // changes of a final state.
-func (b *Book) Status(st Status) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(st.Service)
+func (t *Tracker) Status(st Status) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(st.Service)
 	if st.Row <= s.status.Row {
 		return
 	}
@@ -247,35 +247,35 @@
 		return
 	}
 	if st.Order == s.status.Order && s.status.State.Final() && st.State != s.status.State {
-		b.Log.Error().Str("service", st.Service).Stringer("state", st.State).Stringer("known", s.status.State).Msg("rollout: ignoring a change of a final status")
+		t.Log.Error().Str("service", st.Service).Stringer("state", st.State).Stringer("known", s.status.State).Msg("rollout: ignoring a change of a final status")
 		return
 	}
 	changed := st.State != s.status.State || st.Order != s.status.Order
 	s.status = st
-	b.updateActive()
+	t.updateActive()
 	if changed {
-		b.Log.Info().Str("service", st.Service).Str("to", st.To).Int64("order", st.Order).Stringer("state", st.State).Int("callsHere", s.calls.All).
-			Int("trialsHere", s.calls.Trial).Int("besidesHere", s.calls.Besides).Msg("rollout: status changed")
+		t.Log.Info().Str("service", st.Service).Str("to", st.To).Int64("order", st.Order).Stringer("state", st.State).Int("callsHere", s.calls.All).
+			Int("trialsHere", s.calls.Canary).Int("besidesHere", s.calls.OtherNew).Msg("rollout: status changed")
 	}
 }
 
-// Read records that all statuses were read from the store. Before that, Decide returns
+// MarkStatusesRead records that all statuses were read from the store. Before that, Decide returns
 // nothing.
-func (b *Book) Read() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.statusesRead = true
+func (t *Tracker) MarkStatusesRead() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.statusesRead = true
 }
 
-// Heard records evidence of a peer. It ignores evidence that is not newer than the
+// RecordPeerEvidence records evidence of a peer. It ignores evidence that is not newer than the
 // latest of the same writer.
-func (b *Book) Heard(e Evidence) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(e.Service)
+func (t *Tracker) RecordPeerEvidence(e Evidence) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(e.Service)
 	known := s.latestEvidence[e.Writer]
 	stale := e.Order < known.Order || e.Order == known.Order && e.Tally.answers() <= known.Tally.answers()
-	if e.Writer == b.Self || stale {
+	if e.Writer == t.Self || stale {
 		return
 	}
 	s.latestEvidence[e.Writer] = e
@@ -284,30 +284,30 @@
 	}
 }
 
-// Saw counts an answer to a call of this instance as evidence for the current order.
-func (b *Book) Saw(a Answer) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(a.Service)
+// RecordAnswer counts an answer to a call of this instance as evidence for the current order.
+func (t *Tracker) RecordAnswer(a Answer) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(a.Service)
 	if s.order.ID == 0 || s.status.State.Final() {
 		return
 	}
-	t := s.tallies[b.Self]
-	if t == nil {
-		t = Tally{}
-		s.tallies[b.Self] = t
+	tally := s.tallies[t.Self]
+	if tally == nil {
+		tally = Tally{}
+		s.tallies[t.Self] = tally
 	}
 	s.hasNewEvidence = true
-	t.add(Group{Route: a.Route, New: a.Version == s.order.To, Symptom: a.Symptom}, a.Target, a.Bad)
+	tally.add(Group{Route: a.Route, New: a.Version == s.order.To, Symptom: a.Symptom}, a.Target, a.Bad)
 }
 
-// Times returns the time of an answer to a plain call relative to the old version's
+// RelativeTime returns the time of an answer to a plain call relative to the old version's
 // baseline, or 0 if there are too few samples. An answer of the old version is then added
 // to the baseline.
-func (b *Book) Times(name, route, version string, took time.Duration) float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(name)
+func (t *Tracker) RelativeTime(name, route, version string, took time.Duration) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(name)
 	base := s.baselines[route]
 	ratio := 0.0
 	if base.samples >= minBaselineSamples {
@@ -326,9 +326,9 @@
 	b.mean += (float64(took) - b.mean) / float64(min(b.samples, baselineWindow))
 }
 
-// IsSlowStart reports whether a first event is slow; times is its time relative to the
+// IsSlowFirstEvent reports whether a first event is slow; times is its time relative to the
 // expected time.
-func IsSlowStart(times float64) bool { return times > slowFirstEventFactor }
+func IsSlowFirstEvent(times float64) bool { return times > slowFirstEventFactor }
 
 // IsSlow reports whether an answer is slow; times is its time relative to the baseline.
 func IsSlow(times float64) bool { return times > slowFactor }
--- a/rollout/book_test.go
+++ b/rollout/book_test.go
@@ -25,19 +25,19 @@
 
 // uses returns the use of the old and the new version for a call that is no canary
 // call.
-func uses(b *Book) [2]Use {
-	p := b.Place(svc, Lane{}, clock.Time(time.Hour))
+func uses(t *Tracker) [2]Use {
+	p := t.Place(svc, CallRole{}, clock.Time(time.Hour))
 	return [2]Use{p.Use(oldVer), p.Use(newVer)}
 }
 
 // Without an order no version is restricted.
 func TestNoOrder(t *testing.T) {
-	var b Book
-	assert.False(t, b.InForce())
-	assert.Equal(t, Lane{}, b.Enter(svc, "r"))
-	assert.Equal(t, [2]Use{Preferred, Preferred}, uses(&b))
-	assert.Empty(t, b.Decide(0, 0, nil))
-	assert.Empty(t, b.PendingEvidence(0))
+	var tracker Tracker
+	assert.False(t, tracker.Active())
+	assert.Equal(t, CallRole{}, tracker.AssignRole(svc, "r"))
+	assert.Equal(t, [2]Use{Selected, Selected}, uses(&tracker))
+	assert.Empty(t, tracker.Decide(0, 0, nil))
+	assert.Empty(t, tracker.PendingEvidence(0))
 }
 
 // Calls go to the version of each state, and final states are not left.
@@ -46,47 +46,47 @@
 		state State
 		want  [2]Use
 	}{
-		{Running, [2]Use{Preferred, Spare}},
-		{Moving, [2]Use{Spare, Preferred}},
-		{Completed, [2]Use{Spare, Preferred}},
-		{RolledBack, [2]Use{Preferred, Never}},
+		{Running, [2]Use{Selected, Spare}},
+		{Moving, [2]Use{Spare, Selected}},
+		{Completed, [2]Use{Spare, Selected}},
+		{RolledBack, [2]Use{Selected, Never}},
 	}
 	for _, tt := range tests {
-		var b Book
-		b.Order(order(5), 0)
-		b.Status(Status{Order: 5, Service: svc, To: newVer, State: tt.state, Row: 9})
-		assert.Equal(t, tt.want, uses(&b), tt.state)
+		var tracker Tracker
+		tracker.Order(order(5), 0)
+		tracker.Status(Status{Order: 5, Service: svc, To: newVer, State: tt.state, Row: 9})
+		assert.Equal(t, tt.want, uses(&tracker), tt.state)
 		if tt.state.Final() {
-			b.Status(Status{Order: 5, Service: svc, To: newVer, State: Running, Row: 10})
-			assert.Equal(t, tt.want, uses(&b), "%v was left", tt.state)
+			tracker.Status(Status{Order: 5, Service: svc, To: newVer, State: Running, Row: 10})
+			assert.Equal(t, tt.want, uses(&tracker), "%v was left", tt.state)
 		}
 	}
 }
 
 // A status of an earlier order doesn't affect the next, whichever is learned first.
 func TestLaterOrder(t *testing.T) {
-	var b Book
-	b.Status(Status{Order: 5, Service: svc, To: newVer, State: RolledBack, Row: 9})
-	assert.Equal(t, [2]Use{Preferred, Never}, uses(&b))
-	b.Order(order(7), 0)
-	assert.Equal(t, [2]Use{Preferred, Spare}, uses(&b))
-	b.Status(Status{Order: 5, Service: svc, To: newVer, State: RolledBack, Row: 11})
-	assert.Equal(t, [2]Use{Preferred, Spare}, uses(&b))
-	b.Status(Status{Order: 7, Service: svc, To: newVer, State: Completed, Row: 12})
-	assert.Equal(t, [2]Use{Spare, Preferred}, uses(&b))
-	b.Order(order(6), 0) // arrives late
-	assert.Equal(t, [2]Use{Spare, Preferred}, uses(&b))
+	var tracker Tracker
+	tracker.Status(Status{Order: 5, Service: svc, To: newVer, State: RolledBack, Row: 9})
+	assert.Equal(t, [2]Use{Selected, Never}, uses(&tracker))
+	tracker.Order(order(7), 0)
+	assert.Equal(t, [2]Use{Selected, Spare}, uses(&tracker))
+	tracker.Status(Status{Order: 5, Service: svc, To: newVer, State: RolledBack, Row: 11})
+	assert.Equal(t, [2]Use{Selected, Spare}, uses(&tracker))
+	tracker.Status(Status{Order: 7, Service: svc, To: newVer, State: Completed, Row: 12})
+	assert.Equal(t, [2]Use{Spare, Selected}, uses(&tracker))
+	tracker.Order(order(6), 0) // arrives late
+	assert.Equal(t, [2]Use{Spare, Selected}, uses(&tracker))
 }
 
 // An order that is withdrawn before its state is final is rolled back.
 func TestWithdrawn(t *testing.T) {
-	var b Book
-	b.Read()
-	b.Order(order(5), 0)
-	b.Status(Status{Order: 5, Service: svc, To: newVer, State: Running, Row: 9})
-	b.Withdraw(svc)
-	assert.Equal(t, [2]Use{Preferred, Never}, uses(&b))
-	changes := b.Decide(1, 0, func(string, string) Sight { return Sight{Old: 3, New: 3, NewReady: 3} })
+	var tracker Tracker
+	tracker.MarkStatusesRead()
+	tracker.Order(order(5), 0)
+	tracker.Status(Status{Order: 5, Service: svc, To: newVer, State: Running, Row: 9})
+	tracker.Withdraw(svc)
+	assert.Equal(t, [2]Use{Selected, Never}, uses(&tracker))
+	changes := tracker.Decide(1, 0, func(string, string) TargetCounts { return TargetCounts{Old: 3, New: 3, NewReady: 3} })
 	assert.Len(t, changes, 1)
 	assert.Equal(t, RolledBack, changes[0].State)
 	assert.Equal(t, int64(9), changes[0].If)
@@ -95,16 +95,18 @@
 // A new version gets no calls for a while if no order is known; versions that were
 // discovered together get calls at once.
 func TestUnorderedVersion(t *testing.T) {
-	var b Book
-	b.Met(svc, oldVer, 0)
-	b.Met(svc, newVer, clock.Time(time.Minute))
-	at := func(d time.Duration) Use { return b.Place(svc, Lane{}, clock.Time(time.Minute+d)).Use(newVer) }
+	var tracker Tracker
+	tracker.RecordVersion(svc, oldVer, 0)
+	tracker.RecordVersion(svc, newVer, clock.Time(time.Minute))
+	at := func(d time.Duration) Use {
+		return tracker.Place(svc, CallRole{}, clock.Time(time.Minute+d)).Use(newVer)
+	}
 	assert.Equal(t, Spare, at(time.Second))
-	assert.Equal(t, Preferred, at(newVersionHold))
-	var c Book
-	c.Met(svc, newVer, 0)
-	c.Met(svc, oldVer, 1)
-	assert.Equal(t, [2]Use{Preferred, Preferred}, [2]Use{c.Place(svc, Lane{}, 2).Use(oldVer), c.Place(svc, Lane{}, 2).Use(newVer)})
+	assert.Equal(t, Selected, at(newVersionHold))
+	var c Tracker
+	c.RecordVersion(svc, newVer, 0)
+	c.RecordVersion(svc, oldVer, 1)
+	assert.Equal(t, [2]Use{Selected, Selected}, [2]Use{c.Place(svc, CallRole{}, 2).Use(oldVer), c.Place(svc, CallRole{}, 2).Use(newVer)})
 }
 
 // Canary calls stay within the operator's bound for any number of instances, also if
@@ -114,12 +116,12 @@
 	for _, n := range []int{5, 28, 103, 380} {
 		for seed := range uint64(50) {
 			rng := rand.New(rand.NewPCG(seed, uint64(n)))
-			start := func() *Book {
-				b := &Book{Share: share, Slack: slack, Random: rng.Float64, Instances: func() (int, bool) { return n, true }}
-				b.Order(order(5), 0)
-				return b
+			start := func() *Tracker {
+				tracker := &Tracker{Share: share, Slack: slack, Random: rng.Float64, Instances: func() (int, bool) { return n, true }}
+				tracker.Order(order(5), 0)
+				return tracker
 			}
-			books := make([]*Book, n)
+			books := make([]*Tracker, n)
 			for i := range books {
 				books[i] = start()
 			}
@@ -137,11 +139,11 @@
 				}
 				if c%50 == 0 {
 					tallies := map[Writer]Tally{{}: {Group{Route: "often"}: {Seen: 16 * (c + 1)}, Group{Route: "rare"}: {Seen: c + 1}}}
-					for _, b := range books {
-						b.services[svc].budget.updateUsage(tallies)
+					for _, tracker := range books {
+						tracker.services[svc].budget.updateUsage(tallies)
 					}
 				}
-				if books[i].Enter(svc, route).canary {
+				if books[i].AssignRole(svc, route).canary {
 					canaries++
 					if route == "rare" {
 						rare++
@@ -177,11 +179,11 @@
 
 // Evidence that arrives twice, late or for another order is not counted again.
 func TestEvidenceCountsOnce(t *testing.T) {
-	var b Book
-	b.Order(order(5), 0)
+	var tracker Tracker
+	tracker.Order(order(5), 0)
 	g := Group{Route: "r", New: true}
 	receive := func(started int64, seen int, order int64) {
-		b.Heard(Evidence{Writer: Writer{Node: "n", Started: started}, Service: svc, Order: order, Tally: Tally{g: {Seen: seen}}})
+		tracker.RecordPeerEvidence(Evidence{Writer: Writer{Node: "n", Started: started}, Service: svc, Order: order, Tally: Tally{g: {Seen: seen}}})
 	}
 	receive(1, 3, 5)
 	receive(1, 7, 5)
@@ -189,7 +191,7 @@
 	receive(1, 7, 5)
 	receive(2, 2, 5) // the same instance after a restart
 	receive(3, 50, 4)
-	assert.Equal(t, 9, poolGroup(b.services[svc].tallies, g).seen)
+	assert.Equal(t, 9, poolGroup(tracker.services[svc].tallies, g).seen)
 }
 
 // A single bad target doesn't make its version bad.
@@ -231,8 +233,8 @@
 	return st, nil
 }
 
-// Change applies, loses or delays a change, at random.
-func (m *memoryStore) Change(_ context.Context, c Change) (Status, error) {
+// WriteStatus applies, loses or delays a change, at random.
+func (m *memoryStore) WriteStatus(_ context.Context, c Change) (Status, error) {
 	switch m.rng.IntN(4) {
 	case 0:
 		m.late = append(m.late, c)
@@ -244,8 +246,8 @@
 	return m.apply(c)
 }
 
-// Tell does nothing.
-func (*memoryStore) Tell(context.Context, Evidence) error { return nil }
+// WriteEvidence does nothing.
+func (*memoryStore) WriteEvidence(context.Context, Evidence) error { return nil }
 
 // Random histories of three instances, with restarts, late updates and a faulty store:
 // an order takes only the transitions of the package comment and ends in one final
@@ -258,12 +260,14 @@
 		g := Group{Route: "r", New: true}
 		keepers := make([]*Keeper, 3)
 		start := func(i int, now clock.Time) {
-			b := &Book{Self: Writer{Node: fmt.Sprint(i), Started: int64(now)}}
-			b.Order(order(5), now)
-			b.Status(m.status)
-			b.Read()
-			keepers[i] = &Keeper{Book: b, Store: m, Turn: func(string) time.Duration { return 0 },
-				See: func(string, string) Sight { return Sight{Old: 9, New: 9, NewReady: 9, OldWork: rng.IntN(2)} }}
+			tracker := &Tracker{Self: Writer{Node: fmt.Sprint(i), Started: int64(now)}}
+			tracker.Order(order(5), now)
+			tracker.Status(m.status)
+			tracker.MarkStatusesRead()
+			keepers[i] = &Keeper{Tracker: tracker, Store: m, Turn: func(string) time.Duration { return 0 },
+				ObserveTargets: func(string, string) TargetCounts {
+					return TargetCounts{Old: 9, New: 9, NewReady: 9, OldLoad: rng.IntN(2)}
+				}}
 		}
 		for i := range keepers {
 			start(i, 0)
@@ -277,7 +281,7 @@
 				start(i, now)
 				final[i] = None
 			case 1:
-				k.Book.Status(m.status)
+				k.Tracker.Status(m.status)
 			case 2:
 				if len(m.late) > 0 {
 					_, _ = m.apply(m.late[0])
@@ -285,10 +289,10 @@
 				}
 			default:
 				bad := seed%2 == 0 && rng.IntN(3) == 0
-				k.Book.Saw(Answer{Service: svc, Route: g.Route, Target: fmt.Sprint(rng.IntN(9)), Version: newVer, Bad: bad})
+				k.Tracker.RecordAnswer(Answer{Service: svc, Route: g.Route, Target: fmt.Sprint(rng.IntN(9)), Version: newVer, Bad: bad})
 				k.Step(t.Context(), now, time.Duration(now))
 			}
-			st := keepers[i].Book.services[svc].status.State
+			st := keepers[i].Tracker.services[svc].status.State
 			if final[i].Final() {
 				assert.Equal(t, final[i], st, "seed %d: an instance left a final state", seed)
 			}
--- a/rollout/decide.go
+++ b/rollout/decide.go
@@ -11,12 +11,12 @@
 const evidenceWriteInterval = time.Second
 
 type (
-	// Sight counts a service's targets and their load, as this instance sees them.
-	Sight struct {
+	// TargetCounts counts a service's targets and their load, as this instance sees them.
+	TargetCounts struct {
 		Old, New int
 		NewReady int // new targets that accept calls
-		OldWork  int // calls at old targets, of all instances as far as known
-		NewWork  int // calls at new targets, likewise
+		OldLoad  int // calls at old targets, of all instances as far as known
+		NewLoad  int // calls at new targets, likewise
 	}
 
 	// Change is a status to be written if the previous row still has version If.
@@ -32,24 +32,24 @@
 
 // Decide returns the status changes that are due. storeNow is the store's clock;
 // observe returns the state of a service's targets.
-func (b *Book) Decide(now clock.Time, storeNow time.Duration, observe func(service, version string) Sight) []Change {
-	if !b.InForce() {
+func (t *Tracker) Decide(now clock.Time, storeNow time.Duration, observe func(service, version string) TargetCounts) []Change {
+	if !t.Active() {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.statusesRead {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.statusesRead {
 		return nil
 	}
 	var out []Change
-	for _, s := range b.services {
+	for _, s := range t.services {
 		if s.order.ID == 0 || s.status.State.Final() {
 			continue
 		}
 		state, reason := s.nextState(now, storeNow, observe(s.order.Service, s.order.To))
 		if s.verdict.Bad && !s.rollBackDue {
 			s.rollBackDue = true
-			b.Log.Warn().Str("service", s.order.Service).Str("to", s.order.To).Str("route", s.verdict.Route).Stringer("symptom", s.verdict.Symptom).
+			t.Log.Warn().Str("service", s.order.Service).Str("to", s.order.To).Str("route", s.verdict.Route).Stringer("symptom", s.verdict.Symptom).
 				Float64("score", s.verdict.Score).Float64("bound", s.verdict.Bound).Int("newSeen", s.verdict.New.seen).Int("newBad", s.verdict.New.bad).
 				Int("oldSeen", s.verdict.Old.seen).Int("oldBad", s.verdict.Old.bad).Msg("rollout: version found bad; no more calls are sent to it")
 		}
@@ -81,14 +81,14 @@
 }
 
 // nextState returns the state that the order should be in, and the reason.
-func (s *service) nextState(now clock.Time, storeNow time.Duration, t Sight) (State, string) {
+func (s *service) nextState(now clock.Time, storeNow time.Duration, c TargetCounts) (State, string) {
 	elapsed := float64(s.age(now, storeNow)) / float64(s.order.Duration)
 	if s.hasNewEvidence {
 		s.verdict, s.hasNewEvidence = s.judge.evaluate(s.tallies, elapsed >= recentFrom), false
 		s.budget.updateUsage(s.tallies)
 	}
-	replaced := t.Old == 0 && t.New > 0
-	ready := float64(t.NewReady) >= minReadyShare*float64(t.Old)
+	replaced := c.Old == 0 && c.New > 0
+	ready := float64(c.NewReady) >= minReadyShare*float64(c.Old)
 	switch {
 	case s.status.State == None && replaced:
 		return Completed, "no other version is left"
@@ -100,9 +100,9 @@
 		return Moving, "judged good"
 	case s.status.State == Running && elapsed >= promoteLikelyFrom && s.verdict.Likely && ready:
 		return Moving, "more likely good than bad, near the end of the duration"
-	case s.status.State == Moving && s.verdict.Likely && ready && t.OldWork == 0:
+	case s.status.State == Moving && s.verdict.Likely && ready && c.OldLoad == 0:
 		return Completed, "judged good; no load left at the old targets"
-	case s.status.State == Moving && s.verdict.Likely && ready && elapsed >= completeFrom && t.oldLoadIsLow():
+	case s.status.State == Moving && s.verdict.Likely && ready && elapsed >= completeFrom && c.oldLoadIsLow():
 		return Completed, "judged good; little load left at the old targets"
 	case s.status.State == Moving:
 		return Moving, "" // even past the duration: completing now would end most calls
@@ -113,35 +113,35 @@
 }
 
 // oldLoadIsLow reports whether few enough calls run at the old targets to stop these.
-func (t Sight) oldLoadIsLow() bool {
-	return float64(t.OldWork) <= maxOldLoadShare*float64(t.OldWork+t.NewWork)
+func (c TargetCounts) oldLoadIsLow() bool {
+	return float64(c.OldLoad) <= maxOldLoadShare*float64(c.OldLoad+c.NewLoad)
 }
 
 // PendingEvidence returns this instance's evidence that is due to be written.
-func (b *Book) PendingEvidence(now clock.Time) []Evidence {
-	if !b.InForce() {
+func (t *Tracker) PendingEvidence(now clock.Time) []Evidence {
+	if !t.Active() {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []Evidence
-	for _, s := range b.services {
-		t := s.tallies[b.Self]
-		n := t.newVersionAnswers()
+	for _, s := range t.services {
+		tally := s.tallies[t.Self]
+		n := tally.newVersionAnswers()
 		if s.order.ID == 0 || s.status.State.Final() || n == s.writtenAnswers || s.writtenAt != 0 && now.Sub(s.writtenAt) < evidenceWriteInterval {
 			continue
 		}
 		s.writtenAnswers, s.writtenAt = n, now
-		out = append(out, Evidence{Writer: b.Self, Service: s.order.Service, Order: s.order.ID, Tally: t.clone()})
+		out = append(out, Evidence{Writer: t.Self, Service: s.order.Service, Order: s.order.ID, Tally: tally.clone()})
 	}
 	return out
 }
 
 // EvidenceWriteFailed records that writing the evidence failed.
-func (b *Book) EvidenceWriteFailed(e Evidence) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.service(e.Service); s.order.ID == e.Order {
+func (t *Tracker) EvidenceWriteFailed(e Evidence) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.service(e.Service); s.order.ID == e.Order {
 		s.writtenAnswers = 0
 	}
 }
--- a/rollout/placement.go
+++ b/rollout/placement.go
@@ -10,17 +10,17 @@
 	Never Use = iota
 	// Spare: the call may be sent to the target if no preferred target takes it.
 	Spare
-	// Preferred: the call goes to one of these targets if possible.
-	Preferred
+	// Selected: the call goes to one of these targets if possible.
+	Selected
 )
 
 type (
 	// Use says whether a target may get a call.
 	Use int
 
-	// Lane is the role of a call in a roll-out, for all its attempts. The zero value is
+	// CallRole is the role of a call in a roll-out, for all its attempts. The zero value is
 	// a call that is not a canary call.
-	Lane struct {
+	CallRole struct {
 		canary bool
 		order  int64
 	}
@@ -35,37 +35,37 @@
 	}
 )
 
-// Enter decides whether a new call on a route becomes a canary call.
-func (b *Book) Enter(name, route string) Lane {
-	if !b.InForce() {
-		return Lane{}
+// AssignRole decides whether a new call on a route becomes a canary call.
+func (t *Tracker) AssignRole(name, route string) CallRole {
+	if !t.Active() {
+		return CallRole{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(name)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(name)
 	if !s.isRollingOut() {
-		return Lane{}
+		return CallRole{}
 	}
-	l := Lane{canary: b.random() < s.budget.canaryProbability(route, canaryFraction*b.share()), order: s.order.ID}
+	role := CallRole{canary: t.random() < s.budget.canaryProbability(route, canaryFraction*t.share()), order: s.order.ID}
 	s.calls.All++
-	if l.canary {
-		s.calls.Trial++
+	if role.canary {
+		s.calls.Canary++
 	}
-	return l
+	return role
 }
 
 // Sent records an attempt at a target of a version. Attempts at the new version that
 // are not the first of a canary call are charged to the canary budget.
-func (b *Book) Sent(name, version string, l Lane, isRetry bool) {
-	if !b.InForce() {
+func (t *Tracker) Sent(name, version string, role CallRole, isRetry bool) {
+	if !t.Active() {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(name)
-	drawn := l.canary && l.order == s.order.ID && !isRetry
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(name)
+	drawn := role.canary && role.order == s.order.ID && !isRetry
 	if s.isRollingOut() && version == s.order.To && !drawn {
-		s.calls.Besides++
+		s.calls.OtherNew++
 		s.budget.chargeCall()
 	}
 }
@@ -86,14 +86,14 @@
 }
 
 // Place returns which versions a call may be sent to now.
-func (b *Book) Place(name string, l Lane, now clock.Time) Placement {
-	if !b.InForce() {
+func (t *Tracker) Place(name string, role CallRole, now clock.Time) Placement {
+	if !t.Active() {
 		return Placement{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(name)
-	p := Placement{to: s.wantedVersion(), state: s.effectiveState(), canary: l.canary && l.order == s.order.ID}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(name)
+	p := Placement{to: s.wantedVersion(), state: s.effectiveState(), canary: role.canary && role.order == s.order.ID}
 	for version, since := range s.firstSeen {
 		if p.to == "" && since.Sub(s.firstSeen[s.firstVersion]) > initialDiscovery && now.Sub(since) < newVersionHold {
 			if p.held == nil {
@@ -105,11 +105,11 @@
 	return p
 }
 
-// Fresh reports whether the service is being moved to the version.
-func (b *Book) Fresh(name, version string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(name)
+// IsNewVersion reports whether the service is being moved to the version.
+func (t *Tracker) IsNewVersion(name, version string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(name)
 	return s.isRollingOut() && version == s.order.To
 }
 
@@ -121,11 +121,11 @@
 	return s.status.To
 }
 
-// Bound reports whether some versions are treated differently from others.
-func (p Placement) Bound() bool { return p.state != None || len(p.held) > 0 }
+// IsRestricted reports whether some versions are treated differently from others.
+func (p Placement) IsRestricted() bool { return p.state != None || len(p.held) > 0 }
 
-// OnTrial reports whether the call is a canary call of a running roll-out.
-func (p Placement) OnTrial() bool {
+// IsCanary reports whether the call is a canary call of a running roll-out.
+func (p Placement) IsCanary() bool {
 	return p.canary && p.state == Running
 }
 
@@ -136,12 +136,12 @@
 	case p.held[version]:
 		return Spare
 	case p.state == None:
-		return Preferred
+		return Selected
 	case p.state == RolledBack && isNew:
 		return Never
 	case p.state == RolledBack:
-		return Preferred
-	case p.state == Moving || p.state == Completed || p.OnTrial():
+		return Selected
+	case p.state == Moving || p.state == Completed || p.IsCanary():
 		return preferIf(isNew)
 	}
 	return preferIf(!isNew)
@@ -149,7 +149,7 @@
 
 func preferIf(yes bool) Use {
 	if yes {
-		return Preferred
+		return Selected
 	}
 	return Spare
 }
--- a/route/engine.go
+++ b/route/engine.go
@@ -50,22 +50,22 @@
 
 // EngineCandidate holds what the instance knows of one model engine.
 type EngineCandidate struct {
-	Takes    bool
-	Backlog  float64 // outstanding prefill work, in prefills
-	Running  int     // running streams
-	Slow     float64 // event interval relative to the usual one; 0: unknown
-	Answer   float64 // generation time of the answer at a usual engine, in prefills
-	Memory   float64 // share of the engine's memory that streams and replicas take
-	Errors   float64 // share of recent calls that failed, 0 to 1
-	SameZone bool
-	Loss     float64 // confidence that the link to its zone loses packets, 0 to 1
-	Trouble  float64 // share of the zone's engines that were lost recently
-	Cold     bool    // reports that it is still slow after its start
-	Home     float64 // 1 for the call's preferred target, less for the second one
-	Back     bool    // the call was interrupted and its caller has reconnected
-	Barred   bool    // excluded: already tried, or in the wrong zone for a replica
-	Late     bool    // its first event is expected after the objective
-	Jitter   float64 // in [0, 1)
+	Takes           bool
+	Backlog         float64 // outstanding prefill work, in prefills
+	Running         int     // running streams
+	Slowdown        float64 // event interval relative to the usual one; 0: unknown
+	Answer          float64 // generation time of the answer at a usual engine, in prefills
+	Memory          float64 // share of the engine's memory that streams and replicas take
+	Errors          float64 // share of recent calls that failed, 0 to 1
+	SameZone        bool
+	Loss            float64 // confidence that the link to its zone loses packets, 0 to 1
+	ZoneOutage      float64 // share of the zone's engines that were lost recently
+	Cold            bool    // reports that it is still slow after its start
+	Preference      float64 // 1 for the call's preferred target, less for the second one
+	Returning       bool    // the call was interrupted and its caller has reconnected
+	Excluded        bool    // excluded: already tried, or in the wrong zone for a replica
+	MissesObjective bool    // its first event is expected after the objective
+	Jitter          float64 // in [0, 1)
 }
 
 // Engines is the policy for model engines. It minimises the time to the first
@@ -73,18 +73,18 @@
 type Engines struct{}
 
 // Usable reports whether the engine accepts the call.
-func (Engines) Usable(c EngineCandidate) bool { return c.Takes && !c.Barred }
+func (Engines) Usable(c EngineCandidate) bool { return c.Takes && !c.Excluded }
 
 // Score returns the expected delay in prefills; lower is better.
 func (Engines) Score(c EngineCandidate, _ uint64) float64 {
-	slowdown := c.Slow
+	slowdown := c.Slowdown
 	if slowdown == 0 {
 		slowdown = 1
 	}
 	s := slowdown*c.Backlog + (slowdown-1)*(1+answerWeight*c.Answer) + runningStreamCost*float64(c.Running) +
 		memoryCost*max(0, c.Memory-memoryFreeShare) + jitterWeight*c.Jitter + errorCost*c.Errors +
-		zoneOutageCost*c.Trouble + packetLossCost*c.Loss
-	if c.Late {
+		zoneOutageCost*c.ZoneOutage + packetLossCost*c.Loss
+	if c.MissesObjective {
 		s += missedObjectiveCost
 	}
 	if c.Cold {
@@ -94,18 +94,18 @@
 		s += crossZoneCost
 	}
 	bonus := float64(preferredBonus)
-	if c.Back {
+	if c.Returning {
 		bonus = returningBonus
 	}
-	return s - bonus*c.Home
+	return s - bonus*c.Preference
 }
 
-// Homes returns the affinity of a call for each engine, by rendezvous hashing
+// PreferenceWeights returns the affinity of a call for each engine, by rendezvous hashing
 // of the call's subject and the engines' addresses: 1 for the preferred
 // target, less for the second one, 0 for the others. All instances agree on
 // the preferred target. It changes only when that engine leaves, or when an
 // engine with a higher hash joins. An empty subject has no preferred target.
-func Homes(subject string, addrs []string) []float64 {
+func PreferenceWeights(subject string, addrs []string) []float64 {
 	out := make([]float64, len(addrs))
 	if subject == "" {
 		return out
--- a/route/engine_test.go
+++ b/route/engine_test.go
@@ -93,7 +93,7 @@
 	for i := range addrs {
 		addrs[i] = fmt.Sprintf("10.0.0.%d:80", i)
 	}
-	affinities := Homes(fmt.Sprint(r.rng.Uint64()), addrs)
+	affinities := PreferenceWeights(fmt.Sprint(r.rng.Uint64()), addrs)
 	for i := range cands {
 		running := 0
 		for _, s := range r.sent {
@@ -101,9 +101,9 @@
 				running++
 			}
 		}
-		cands[i] = EngineCandidate{Takes: true, Backlog: r.queue(at, i, known) / float64(r.Prompt), Running: running, Home: affinities[i], Jitter: r.rng.Float64()}
+		cands[i] = EngineCandidate{Takes: true, Backlog: r.queue(at, i, known) / float64(r.Prompt), Running: running, Preference: affinities[i], Jitter: r.rng.Float64()}
 		if i < r.Troubled {
-			cands[i].Trouble = 1
+			cands[i].ZoneOutage = 1
 		}
 	}
 	return Pick(cands, Engines{}, 0)
@@ -141,7 +141,7 @@
 	count := map[int]int{}
 	for i := range 600 {
 		subject := fmt.Sprint("subject-", i)
-		h := Homes(subject, addrs)
+		h := PreferenceWeights(subject, addrs)
 		first := -1
 		for j, v := range h {
 			if v == 1 {
@@ -151,13 +151,13 @@
 		require.GreaterOrEqual(t, first, 0)
 		count[first]++
 		if first < 5 {
-			assert.Equal(t, 1.0, Homes(subject, addrs[:5])[first], "the preferred target changed although another engine left")
+			assert.Equal(t, 1.0, PreferenceWeights(subject, addrs[:5])[first], "the preferred target changed although another engine left")
 		}
 	}
 	for i := range addrs {
 		assert.Greater(t, count[i], 60)
 	}
-	assert.Equal(t, make([]float64, 6), Homes("", addrs))
+	assert.Equal(t, make([]float64, 6), PreferenceWeights("", addrs))
 }
 
 // BenchmarkEngines measures the choice of an engine, including the preferred
@@ -171,9 +171,9 @@
 				addrs[i] = fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250)
 			}
 			for b.Loop() {
-				affinities := Homes("5c1e07a2", addrs)
+				affinities := PreferenceWeights("5c1e07a2", addrs)
 				for i := range cands {
-					cands[i] = EngineCandidate{Takes: true, Backlog: float64(i), Home: affinities[i]}
+					cands[i] = EngineCandidate{Takes: true, Backlog: float64(i), Preference: affinities[i]}
 				}
 				Pick(cands, Engines{}, 0)
 			}
--- a/route/zones_test.go
+++ b/route/zones_test.go
@@ -18,11 +18,11 @@
 		{"one more local stream", EngineCandidate{Running: 1}, EngineCandidate{}, true},
 		{"two more local streams", EngineCandidate{Running: 2}, EngineCandidate{}, false},
 		{"a local prompt waits", EngineCandidate{Backlog: 1, Running: 1}, EngineCandidate{}, false},
-		{"preferred target in the other zone", EngineCandidate{}, EngineCandidate{Home: 1}, true},
-		{"interrupted stream, cached prefix in the other zone", EngineCandidate{Back: true}, EngineCandidate{Back: true, Home: 1}, false},
-		{"local zone outage", EngineCandidate{Trouble: 1}, EngineCandidate{Running: 3}, false},
+		{"preferred target in the other zone", EngineCandidate{}, EngineCandidate{Preference: 1}, true},
+		{"interrupted stream, cached prefix in the other zone", EngineCandidate{Returning: true}, EngineCandidate{Returning: true, Preference: 1}, false},
+		{"local zone outage", EngineCandidate{ZoneOutage: 1}, EngineCandidate{Running: 3}, false},
 		{"link loses packets, two local prompts wait", EngineCandidate{Backlog: 2, Running: 2}, EngineCandidate{Loss: 1}, true},
-		{"link loses packets, local zone outage", EngineCandidate{Trouble: 1}, EngineCandidate{Loss: 1}, false},
+		{"link loses packets, local zone outage", EngineCandidate{ZoneOutage: 1}, EngineCandidate{Loss: 1}, false},
 	}
 	for _, tt := range tests {
 		tt.local.Takes, tt.remote.Takes, tt.local.SameZone = true, true, true
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -138,11 +138,11 @@
 		panic(err) // all parts of the request are constants or generated
 	}
 	req.Host = host
-	head := platform.CallerHead{ID: call.ID, Key: call.Key, Patience: call.Timeout, After: call.ResumeOffset}
+	headers := platform.CallHeaders{ID: call.ID, Key: call.Key, RemainingTime: call.Timeout, ResumeOffset: call.ResumeOffset}
 	if call.Kind == CallStream {
-		head.Stream = &platform.CallerStream{Model: model, Subject: call.Subject, Prompt: promptTokens, Output: call.TotalEvents}
+		headers.Stream = &platform.CallerStream{Model: model, Subject: call.Subject, Prompt: promptTokens, MaxTokens: call.TotalEvents}
 	}
-	head.Set(req.Header)
+	headers.Set(req.Header)
 	call.SentAt = time.Now().UnixNano()
 	resp, err := c.http.Do(req)
 	if err == nil {
@@ -161,8 +161,8 @@
 // readAnswer reads the answer into the call.
 func (c *caller) readAnswer(call *Call, resp *http.Response) {
 	defer resp.Body.Close()
-	head := platform.ReadAnswerHead(resp.Header)
-	call.Status, call.Stamp, call.AnsweredCall = resp.StatusCode, head.Stamp, head.Call
+	headers := platform.ReadResponseHeaders(resp.Header)
+	call.Status, call.Stamp, call.AnsweredCall = resp.StatusCode, headers.Stamp, headers.Call
 	var err error
 	if call.Kind == CallStream && call.Status == http.StatusOK {
 		err = call.readEvents(resp.Body)
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -70,21 +70,21 @@
 // bootSettings returns an instance's settings. The instance reaches the store through its
 // link, and gets rows from it with addresses of links in place of those of targets and
 // peers.
-func (e *entry) bootSettings(n int) platform.Boot {
-	return platform.NewBoot(platform.BootParams{Node: e.name, Zone: zoneOf(n), Front: e.frontAddr, Ready: e.readyAddr, Internal: e.internalAddr,
+func (e *entry) bootSettings(n int) platform.Settings {
+	return platform.NewSettings(platform.SettingsParams{Node: e.name, Zone: zoneOf(n), CallerAddr: e.frontAddr, ReadinessAddr: e.readyAddr, Internal: e.internalAddr,
 		Store: entryLinkHost(n) + portSuffix(e.storeAddr), Memory: memoryLimitMB << 20,
-		Bounds: platform.Bounds{Config: configDelay, Revoke: revokeDelay, Grace: gracePeriod, BudgetRatio: retryBudgetRatio, BudgetSpan: retryBudgetWindow, BudgetExtra: retryBudgetExtra}})
+		Bounds: platform.Bounds{Config: configDelay, Revoke: revokeDelay, Grace: gracePeriod, BudgetRatio: retryBudgetRatio, BudgetWindow: retryBudgetWindow, BudgetExtra: retryBudgetExtra}})
 }
 
 // desiredState returns a version of the desired state: the fixed routes, and the routes
 // and keys of the latest versions.
 func desiredState(version int) ([]byte, error) {
 	route := func(name, prefix string, kind ragworthitch.CallKind, service string, timeout time.Duration) ragworthitch.RouteParams {
-		return ragworthitch.RouteParams{Name: name, Host: host, Prefix: prefix, Kind: kind, Timeout: timeout, Target: timeout / 4, MaxTargets: 4, Priority: 1,
+		return ragworthitch.RouteParams{Name: name, Host: host, Prefix: prefix, Kind: kind, Timeout: timeout, Objective: timeout / 4, MaxAttempts: 4, Priority: 1,
 			Shares: []ragworthitch.Share{{Service: service, Weight: 1}}}
 	}
 	stream := route("streams", pathStream, ragworthitch.CallStream, serviceLLM, streamTimeout)
-	stream.Resumable, stream.Sticky, stream.GapTarget = true, true, 700*time.Millisecond
+	stream.Resumable, stream.Sticky, stream.IntervalObjective = true, true, 700*time.Millisecond
 	routes := []ragworthitch.Route{ragworthitch.NewRoute(stream),
 		ragworthitch.NewRoute(route("looks", pathSafe, ragworthitch.CallSafe, serviceApp, plainTimeout)),
 		ragworthitch.NewRoute(route("payments", pathUnsafe, ragworthitch.CallUnsafe, serviceApp, plainTimeout))}
@@ -98,7 +98,7 @@
 	d, err := ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: int64(version), Routes: routes,
 		Services: []ragworthitch.Service{
 			ragworthitch.NewService(ragworthitch.ServiceParams{Name: serviceLLM, HealthPath: pathHealth, MaxConns: 400,
-				Engine: &ragworthitch.Engine{Slots: targetSlots, KVTokens: 55000, Moves: true, Backups: true, Stride: 1, CopyExpiry: replicaExpiry}}),
+				Engine: &ragworthitch.Engine{Slots: targetSlots, KVTokens: 55000, CanMigrate: true, CanReplicate: true, TokensPerEvent: 1, ReplicaExpiry: replicaExpiry}}),
 			ragworthitch.NewService(ragworthitch.ServiceParams{Name: serviceApp, HealthPath: pathHealth, MaxConns: 400})},
 		Limits: ragworthitch.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second},
 		Orgs: []ragworthitch.Organisation{ragworthitch.NewOrganisation(orgFixed, []string{keyFixed}, 1),
