--- a/soak/faults.go
+++ b/soak/faults.go
@@ -44,7 +44,7 @@
 	}
 	if f.isLinkFault() {
 		x.links.injectFault(f)
-		clock.Sleep(ctx, f.Long())
+		clock.Sleep(ctx, f.Duration())
 		x.links.clearFault(f)
 		return nil
 	}
@@ -61,11 +61,11 @@
 			return x.injectTargetFault(ctx, t, f)
 		}
 	}
-	return fmt.Errorf("%w: no node %q", ErrBadPlan, f.From)
+	return fmt.Errorf("%w: no node %q", ErrInvalidPlan, f.From)
 }
 
 func (x *execution) injectStoreFault(ctx context.Context, f Fault) error {
-	ms := f.Long().Milliseconds()
+	ms := f.Duration().Milliseconds()
 	var storeFault platform.Fault
 	switch f.Kind {
 	case KindStoreDown:
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	clock.Sleep(ctx, f.Long())
+	clock.Sleep(ctx, f.Duration())
 	return nil
 }
 
@@ -92,7 +92,7 @@
 	if err := proc.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	clock.Sleep(ctx, f.Long())
+	clock.Sleep(ctx, f.Duration())
 	return proc.Signal(syscall.SIGCONT)
 }
 
@@ -117,7 +117,7 @@
 		return err
 	}
 	x.links.closeTo(e.name)
-	clock.Sleep(ctx, f.Long())
+	clock.Sleep(ctx, f.Duration())
 	return e.start(x)
 }
 
@@ -140,8 +140,8 @@
 func (x *execution) plannedPauses(node string, from, window time.Duration) time.Duration {
 	var total time.Duration
 	for _, f := range x.plan.Faults {
-		if f.Kind == KindPause && f.From == node && f.At() < from+window && f.At()+f.Long() > from {
-			total += f.Long()
+		if f.Kind == KindPause && f.From == node && f.At() < from+window && f.At()+f.Duration() > from {
+			total += f.Duration()
 		}
 	}
 	return total
@@ -173,7 +173,7 @@
 	case KindNewAddress, KindClockStep:
 		config.Listen, config.StepMs = "", f.StepMs
 	}
-	clock.Sleep(ctx, f.Long())
+	clock.Sleep(ctx, f.Duration())
 	return t.start(x, config)
 }
 
@@ -184,7 +184,7 @@
 	if err == nil {
 		resp.Body.Close()
 	}
-	clock.Sleep(ctx, f.Long())
+	clock.Sleep(ctx, f.Duration())
 	return nil
 }
 
@@ -201,7 +201,7 @@
 		}
 	}
 	x.links.closeTo(t.name)
-	clock.Sleep(ctx, f.Long())
+	clock.Sleep(ctx, f.Duration())
 	return t.start(x, t.nextConfig(t.service))
 }
 
@@ -216,7 +216,7 @@
 	if err := t.start(x, replacement); err != nil {
 		return err
 	}
-	clock.Sleep(ctx, f.Long())
+	clock.Sleep(ctx, f.Duration())
 	if err := t.process().Kill(); err != nil {
 		return err
 	}
--- a/soak/links.go
+++ b/soak/links.go
@@ -37,7 +37,7 @@
 	}
 	ls.byEnds[ends] = l
 	if f, ok := ls.faults[ends]; ok {
-		l.Disturb(f.Kind, f.delay())
+		l.SetFault(f.Kind, f.delay())
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 	ends := [2]string{f.From, f.To}
 	if l := ls.byEnds[ends]; l != nil {
 		ls.faults[ends] = f
-		l.Disturb(f.Kind, f.delay())
+		l.SetFault(f.Kind, f.delay())
 	}
 }
 
@@ -59,7 +59,7 @@
 	ends := [2]string{f.From, f.To}
 	delete(ls.faults, ends)
 	if l := ls.byEnds[ends]; l != nil {
-		l.Calm()
+		l.ClearFault()
 	}
 }
 
@@ -80,6 +80,6 @@
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for _, l := range ls.byEnds {
-		l.Cut()
+		l.Abort()
 	}
 }
--- a/soak/nodes.go
+++ b/soak/nodes.go
@@ -72,7 +72,7 @@
 
 // start starts the instance and opens the links to it.
 func (e *entry) start(x *execution) error {
-	proc, err := process.Start(x.dir, e.name, x.program, []string{platform.BootEnv + "=" + e.settingsFile}, "serve")
+	proc, err := process.Start(x.dir, e.name, x.program, []string{platform.SettingsEnv + "=" + e.settingsFile}, "serve")
 	if err != nil {
 		return err
 	}
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -47,7 +47,7 @@
 	o.mu.Lock()
 	o.changes = append(o.changes, c)
 	o.mu.Unlock()
-	row := platform.OthersRow{Table: platform.TableOperator, Key: platform.KeyDesired, Value: value}
+	row := platform.ExternalRow{Table: platform.TableOperator, Key: platform.KeyDesired, Value: value}
 	for {
 		if row.Send(&o.http, o.storeAddr) == nil {
 			break
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -62,8 +62,8 @@
 	maxClockStep = 10 * time.Minute
 )
 
-// ErrBadPlan is wrapped by all errors of plans.
-var ErrBadPlan = errors.New("soak: bad plan")
+// ErrInvalidPlan is wrapped by all errors of plans.
+var ErrInvalidPlan = errors.New("soak: bad plan")
 
 type (
 	// Plan lists the faults and changes of an execution.
@@ -128,10 +128,10 @@
 func NewPlan(seed uint64, size string, length time.Duration) (Plan, error) {
 	s, ok := sizes[size]
 	if !ok {
-		return Plan{}, fmt.Errorf("%w: size %q", ErrBadPlan, size)
+		return Plan{}, fmt.Errorf("%w: size %q", ErrInvalidPlan, size)
 	}
 	if length < startMargin+recoveryMargin+time.Second {
-		return Plan{}, fmt.Errorf("%w: the minimum duration is %v", ErrBadPlan, startMargin+recoveryMargin+time.Second)
+		return Plan{}, fmt.Errorf("%w: the minimum duration is %v", ErrInvalidPlan, startMargin+recoveryMargin+time.Second)
 	}
 	p := Plan{Seed: seed, Size: size, Seconds: int(length / time.Second)}
 	d := &planDrawer{rng: rand.New(rand.NewPCG(seed, 1)), size: s}
@@ -278,8 +278,8 @@
 // At returns when the fault starts, relative to the start of the execution.
 func (f Fault) At() time.Duration { return time.Duration(f.AtMs) * time.Millisecond }
 
-// Long returns how long the fault lasts.
-func (f Fault) Long() time.Duration { return time.Duration(f.ForMs) * time.Millisecond }
+// Duration returns how long the fault lasts.
+func (f Fault) Duration() time.Duration { return time.Duration(f.ForMs) * time.Millisecond }
 
 func (f Fault) delay() time.Duration { return time.Duration(f.DelayMs) * time.Millisecond }
 
@@ -303,7 +303,7 @@
 		fmt.Fprintf(&b, " -> %s", f.To)
 	}
 	if f.ForMs > 0 {
-		fmt.Fprintf(&b, " for %.2f s", f.Long().Seconds())
+		fmt.Fprintf(&b, " for %.2f s", f.Duration().Seconds())
 	}
 	if f.DelayMs > 0 {
 		fmt.Fprintf(&b, ", %d ms", f.DelayMs)
@@ -318,18 +318,18 @@
 func ReadPlan(file string) (Plan, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
-		return Plan{}, fmt.Errorf("%w: %w", ErrBadPlan, err)
+		return Plan{}, fmt.Errorf("%w: %w", ErrInvalidPlan, err)
 	}
 	var p Plan
 	if err := yaml.UnmarshalWithOptions(b, &p, yaml.Strict()); err != nil {
-		return Plan{}, fmt.Errorf("%w: %s: %w", ErrBadPlan, file, err)
+		return Plan{}, fmt.Errorf("%w: %s: %w", ErrInvalidPlan, file, err)
 	}
 	if _, ok := sizes[p.Size]; !ok || p.Seconds < 1 {
-		return Plan{}, fmt.Errorf("%w: %s: size %q, %d seconds", ErrBadPlan, file, p.Size, p.Seconds)
+		return Plan{}, fmt.Errorf("%w: %s: size %q, %d seconds", ErrInvalidPlan, file, p.Size, p.Seconds)
 	}
 	for _, f := range p.Faults {
 		if f.Kind != KindChange && f.Kind != KindPoison && !slices.ContainsFunc(kindChoices, func(c kindChoice) bool { return c.kind == f.Kind }) {
-			return Plan{}, fmt.Errorf("%w: %s: unknown kind %q", ErrBadPlan, file, f.Kind)
+			return Plan{}, fmt.Errorf("%w: %s: unknown kind %q", ErrInvalidPlan, file, f.Kind)
 		}
 	}
 	p.sort()
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -26,7 +26,7 @@
 		require.Equal(t, a, c)
 		for _, f := range a.Faults {
 			if f.Kind != KindChange {
-				require.LessOrEqual(t, f.At()+f.Long(), time.Minute-recoveryMargin, "%s", f)
+				require.LessOrEqual(t, f.At()+f.Duration(), time.Minute-recoveryMargin, "%s", f)
 			}
 		}
 	}
@@ -55,9 +55,9 @@
 
 func TestInvalidPlans(t *testing.T) {
 	_, err := NewPlan(1, "huge", time.Minute)
-	assert.ErrorIs(t, err, ErrBadPlan)
+	assert.ErrorIs(t, err, ErrInvalidPlan)
 	_, err = NewPlan(1, "small", time.Second)
-	assert.ErrorIs(t, err, ErrBadPlan)
+	assert.ErrorIs(t, err, ErrInvalidPlan)
 	for name, text := range map[string]string{
 		"size":  "{seed: 1, size: huge, seconds: 30}",
 		"time":  "{seed: 1, size: small}",
@@ -68,8 +68,8 @@
 		file := filepath.Join(t.TempDir(), "plan.yaml")
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		_, err := ReadPlan(file)
-		assert.ErrorIs(t, err, ErrBadPlan, name)
+		assert.ErrorIs(t, err, ErrInvalidPlan, name)
 	}
 	_, err = ReadPlan("testdata/none.yaml")
-	assert.ErrorIs(t, err, ErrBadPlan)
+	assert.ErrorIs(t, err, ErrInvalidPlan)
 }
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -54,7 +54,7 @@
 
 // sendPoison sends a poison request to random instances for the duration of the fault.
 func (x *execution) sendPoison(ctx context.Context, f Fault) {
-	ctx, cancel := context.WithTimeout(ctx, f.Long())
+	ctx, cancel := context.WithTimeout(ctx, f.Duration())
 	defer cancel()
 	kind := CallStream
 	if f.From == nodeService {
--- a/soak/target.go
+++ b/soak/target.go
@@ -71,11 +71,11 @@
 	defer f.Close()
 	t := &Target{cfg: cfg, records: f, http: http.Client{Timeout: platform.TargetHeartbeat},
 		bootTimeMs: time.Now().Add(time.Duration(cfg.StepMs) * time.Millisecond).UnixMilli()}
-	t.standIn = platform.TargetStandIn{ID: cfg.ID, Events: streamEvents, Gap: eventInterval, First: firstEventTime, Listen: cfg.Listen,
-		Peers: &platform.Peers{Keep: t.sendReplica}, Work: answerGenerator(cfg.ID), Note: t.recordAttempt, Besides: t.extraHandler(),
-		Crashes: platform.Crashes{By: func(body []byte) bool { return string(body) == poisonBody }, Done: t.crash}}
+	t.standIn = platform.TargetStandIn{ID: cfg.ID, Events: streamEvents, EventInterval: eventInterval, FirstEventDelay: firstEventTime, Listen: cfg.Listen,
+		Peers: &platform.Peers{SendReplica: t.sendReplica}, Work: answerGenerator(cfg.ID), OnRun: t.recordAttempt, Mux: t.extraHandler(),
+		CrashTrigger: platform.CrashTrigger{Matches: func(body []byte) bool { return string(body) == poisonBody }, OnCrash: t.crash}}
 	if cfg.Service != serviceLLM {
-		t.standIn.First = plainAnswerTime
+		t.standIn.FirstEventDelay = plainAnswerTime
 	}
 	if _, err := t.standIn.Start(); err != nil {
 		return err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	return platform.OthersRow{Table: platform.TableTargets, Key: t.cfg.ID, Value: b}.Send(&t.http, t.cfg.Store)
+	return platform.ExternalRow{Table: platform.TableTargets, Key: t.cfg.ID, Value: b}.Send(&t.http, t.cfg.Store)
 }
 
 // crash exits the process, for a poison request.
@@ -118,8 +118,8 @@
 	os.Exit(crashExitCode)
 }
 
-func (t *Target) recordAttempt(attempt platform.RunNote) {
-	record := Record{Kind: RecordStarted, Call: attempt.Call, Path: attempt.Path, Org: attempt.Org, KeyPassed: attempt.KeyPassed, ResumeOffset: attempt.After}
+func (t *Target) recordAttempt(attempt platform.RunEvent) {
+	record := Record{Kind: RecordStarted, Call: attempt.Call, Path: attempt.Path, Org: attempt.Org, KeyPassed: attempt.KeyForwarded, ResumeOffset: attempt.ResumeOffset}
 	if attempt.Ended {
 		record.Kind = RecordEnded
 	}
@@ -143,11 +143,11 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathHealth, func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc(pathReplica, func(_ http.ResponseWriter, r *http.Request) {
-		t.standIn.KeepCopy(r.FormValue("call"), mustAtoi(r.FormValue("events")))
+		t.standIn.KeepReplica(r.FormValue("call"), mustAtoi(r.FormValue("events")))
 	})
 	mux.HandleFunc(pathLoseAnswers, func(_ http.ResponseWriter, r *http.Request) {
-		t.standIn.Misbehave(platform.FaultLoseAnswer)
-		time.AfterFunc(time.Duration(mustAtoi(r.FormValue("ms")))*time.Millisecond, func() { t.standIn.Misbehave("") })
+		t.standIn.SetFault(platform.FaultLoseAnswer)
+		time.AfterFunc(time.Duration(mustAtoi(r.FormValue("ms")))*time.Millisecond, func() { t.standIn.SetFault("") })
 	})
 	return mux
 }
--- a/target.go
+++ b/target.go
@@ -17,17 +17,17 @@
 
 	// TargetParams are the fields of a Target.
 	TargetParams struct {
-		ID       string // identifies the boot together with Started
-		Started  int64  // start of the boot, Unix ms; 0: unknown
-		Service  string
-		Others   []string // further services of the target
-		Address  string   // ip:port
-		Zone     string
-		Version  string // of the target's software; empty: unknown
-		Slots    int
-		Draining bool
-		ColdFor  time.Duration // remaining time of the slow phase after a start
-		Sequence int64         // counts the boot's writes of its store entry
+		ID              string // identifies the boot together with Started
+		Started         int64  // start of the boot, Unix ms; 0: unknown
+		Service         string
+		OtherServices   []string // further services of the target
+		Address         string   // ip:port
+		Zone            string
+		Version         string // of the target's software; empty: unknown
+		Slots           int
+		Draining        bool
+		WarmupRemaining time.Duration // remaining time of the slow phase after a start
+		Sequence        int64         // counts the boot's writes of its store entry
 	}
 )
 
@@ -56,7 +56,9 @@
 func (t Target) Service() string { return t.params.Service }
 
 // Services returns all services of the target.
-func (t Target) Services() []string { return append([]string{t.params.Service}, t.params.Others...) }
+func (t Target) Services() []string {
+	return append([]string{t.params.Service}, t.params.OtherServices...)
+}
 
 // Address returns the target's ip:port. A target of another service may reuse it
 // once this one has ended.
@@ -74,9 +76,9 @@
 // Draining reports whether the target accepts no new work.
 func (t Target) Draining() bool { return t.params.Draining }
 
-// ColdFor returns the remaining time of the slow phase after a start, as of the
+// WarmupRemaining returns the remaining time of the slow phase after a start, as of the
 // target's last write of its store entry.
-func (t Target) ColdFor() time.Duration { return t.params.ColdFor }
+func (t Target) WarmupRemaining() time.Duration { return t.params.WarmupRemaining }
 
 // Sequence returns the number of the write that t was read from. A boot counts its
 // writes of its store entry, since an instance may receive them out of order.
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -110,9 +110,9 @@
 // connections; 0 means no limit.
 func NewPool(addr string, max int) *Pool { return &Pool{addr: addr, max: max} }
 
-// Limit sets the maximum number of open connections. Connections that are
+// SetLimit sets the maximum number of open connections. Connections that are
 // already open stay, and a max of 0 changes nothing.
-func (p *Pool) Limit(max int) {
+func (p *Pool) SetLimit(max int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if max > 0 {
@@ -161,8 +161,8 @@
 	}
 }
 
-// Probe connects to the target and keeps the connection for the next request.
-func (p *Pool) Probe(ctx context.Context) error {
+// CheckConnection connects to the target and keeps the connection for the next request.
+func (p *Pool) CheckConnection(ctx context.Context) error {
 	c, err := p.connect(ctx)
 	if err != nil {
 		return err
--- a/wire/loan.go
+++ b/wire/loan.go
@@ -23,7 +23,7 @@
 	// connection carries one request at a time.
 	Loan struct {
 		Service string
-		Repeats int
+		Retries int
 	}
 
 	loanFrame struct {
@@ -35,7 +35,7 @@
 
 // EncodeLoan maps a loan to its CBOR frame.
 func EncodeLoan(l Loan) ([]byte, error) {
-	return cbor.Marshal(loanFrame{S: l.Service, N: l.Repeats})
+	return cbor.Marshal(loanFrame{S: l.Service, N: l.Retries})
 }
 
 // DecodeLoan maps a CBOR frame to a loan; errors wrap ErrBadFrame.
@@ -47,7 +47,7 @@
 	if f.N < 0 || f.N > maxLoanRetries {
 		return Loan{}, fmt.Errorf("%w: loan of %d retries", ErrBadFrame, f.N)
 	}
-	return Loan{Service: f.S, Repeats: f.N}, nil
+	return Loan{Service: f.S, Retries: f.N}, nil
 }
 
 // DialLoan connects to the instance at addr (host:port) to borrow retries.
@@ -67,7 +67,7 @@
 		return 0, err
 	}
 	got, err := c.RecvLoan(ctx)
-	return min(got.Repeats, l.Repeats), err
+	return min(got.Retries, l.Retries), err
 }
 
 // SendLoan writes a loan.
--- a/wire/table.go
+++ b/wire/table.go
@@ -51,7 +51,7 @@
 		WantsAsOf bool          // end the wait also when only the answer's AsOf has advanced
 		// CacheLocations holds the cache locations that the asking instance has recorded
 		// since its last question. The peer writes them to the store.
-		CacheLocations []Place
+		CacheLocations []CacheLocation
 	}
 
 	// Answer answers a Question. Its times are relative to the receipt of the
--- a/wire/table_test.go
+++ b/wire/table_test.go
@@ -15,7 +15,7 @@
 	questions = []Question{
 		{Table: "servers", Whole: true},
 		{Table: "op", After: 912, Wait: 800 * time.Millisecond, WantsAsOf: true},
-		{Table: "op", CacheLocations: []Place{{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 1767312000123)}}},
+		{Table: "op", CacheLocations: []CacheLocation{{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 1767312000123)}}},
 	}
 	answers = []Answer{
 		{State: AnswerStale},
--- a/wire/view.go
+++ b/wire/view.go
@@ -25,12 +25,12 @@
 	View struct {
 		Node           string // name of the instance
 		Loads          []TargetLoad
-		CacheLocations []Place
-		Crashes        []poison.Death
+		CacheLocations []CacheLocation
+		Crashes        []poison.Crash
 	}
 
-	// Place is a cache location: the engine that holds a prompt's KV cache.
-	Place struct {
+	// CacheLocation is a cache location: the engine that holds a prompt's KV cache.
+	CacheLocation struct {
 		Subject string // identifies the prompt: its last part
 		Engine  ragworthitch.Boot
 	}
@@ -38,11 +38,11 @@
 	// TargetLoad is the load of an instance at a target. All numbers are zero when
 	// the instance has no more calls there.
 	TargetLoad struct {
-		Target  ragworthitch.Boot
-		Prefill int // prompt tokens whose prefill has not ended
-		Later   int // the same for calls whose prefill yields to others at the target
-		Running int // calls in progress
-		Tokens  int // KV cache of the instance's calls and replicas, in tokens
+		Target          ragworthitch.Boot
+		Prefill         int // prompt tokens whose prefill has not ended
+		YieldingPrefill int // the same for calls whose prefill yields to others at the target
+		Running         int // calls in progress
+		Tokens          int // KV cache of the instance's calls and replicas, in tokens
 		// EventInterval is the event interval of streams at the target, as the instance
 		// sees it; 0: no recent events.
 		EventInterval time.Duration
@@ -91,43 +91,43 @@
 func EncodeView(v View) ([]byte, error) {
 	f := viewFrame{N: v.Node}
 	for _, l := range v.Loads {
-		f.L = append(f.L, loadFrame{T: l.Target.ID(), B: l.Target.Started(), P: l.Prefill, L: l.Later, R: l.Running, K: l.Tokens, G: l.EventInterval.Microseconds()})
+		f.L = append(f.L, loadFrame{T: l.Target.ID(), B: l.Target.Started(), P: l.Prefill, L: l.YieldingPrefill, R: l.Running, K: l.Tokens, G: l.EventInterval.Microseconds()})
 	}
 	f.P, f.D = encodeCacheLocations(v.CacheLocations), encodeCrashes(v.Crashes)
 	return cbor.Marshal(f)
 }
 
-func encodeCrashes(crashes []poison.Death) []crashFrame {
+func encodeCrashes(crashes []poison.Crash) []crashFrame {
 	var out []crashFrame
-	for _, d := range crashes {
-		out = append(out, crashFrame{F: d.Print[:], T: d.Boot.ID(), B: d.Boot.Started(), C: d.Call, A: d.Together, W: d.Well, O: d.Org, S: d.Service, V: d.Version})
+	for _, c := range crashes {
+		out = append(out, crashFrame{F: c.Fingerprint[:], T: c.Boot.ID(), B: c.Boot.Started(), C: c.Call, A: c.InOutage, W: c.RecentSuccesses, O: c.Org, S: c.Service, V: c.Version})
 	}
 	return out
 }
 
-func decodeCrashes(frames []crashFrame) ([]poison.Death, error) {
-	var out []poison.Death
+func decodeCrashes(frames []crashFrame) ([]poison.Crash, error) {
+	var out []poison.Crash
 	for _, f := range frames {
 		if len(f.F) != len(poison.Fingerprint{}) {
 			return nil, fmt.Errorf("%w: fingerprint of %d bytes", ErrBadFrame, len(f.F))
 		}
-		out = append(out, poison.Death{Print: poison.Fingerprint(f.F), Boot: ragworthitch.NewBoot(f.T, f.B), Call: f.C, Together: f.A, Well: f.W, Org: f.O, Service: f.S, Version: f.V})
+		out = append(out, poison.Crash{Fingerprint: poison.Fingerprint(f.F), Boot: ragworthitch.NewBoot(f.T, f.B), Call: f.C, InOutage: f.A, RecentSuccesses: f.W, Org: f.O, Service: f.S, Version: f.V})
 	}
 	return out, nil
 }
 
-func encodeCacheLocations(locations []Place) []cacheLocationFrame {
+func encodeCacheLocations(locations []CacheLocation) []cacheLocationFrame {
 	var out []cacheLocationFrame
-	for _, p := range locations {
-		out = append(out, cacheLocationFrame{S: p.Subject, T: p.Engine.ID(), B: p.Engine.Started()})
+	for _, l := range locations {
+		out = append(out, cacheLocationFrame{S: l.Subject, T: l.Engine.ID(), B: l.Engine.Started()})
 	}
 	return out
 }
 
-func decodeCacheLocations(frames []cacheLocationFrame) []Place {
-	var out []Place
+func decodeCacheLocations(frames []cacheLocationFrame) []CacheLocation {
+	var out []CacheLocation
 	for _, f := range frames {
-		out = append(out, Place{Subject: f.S, Engine: ragworthitch.NewBoot(f.T, f.B)})
+		out = append(out, CacheLocation{Subject: f.S, Engine: ragworthitch.NewBoot(f.T, f.B)})
 	}
 	return out
 }
@@ -140,7 +140,7 @@
 	}
 	v := View{Node: f.N}
 	for _, l := range f.L {
-		v.Loads = append(v.Loads, TargetLoad{Target: ragworthitch.NewBoot(l.T, l.B), Prefill: l.P, Later: l.L, Running: l.R, Tokens: l.K, EventInterval: time.Duration(l.G) * time.Microsecond})
+		v.Loads = append(v.Loads, TargetLoad{Target: ragworthitch.NewBoot(l.T, l.B), Prefill: l.P, YieldingPrefill: l.L, Running: l.R, Tokens: l.K, EventInterval: time.Duration(l.G) * time.Microsecond})
 	}
 	v.CacheLocations = decodeCacheLocations(f.P)
 	var err error
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -96,9 +96,9 @@
 func TestViewRoundTrip(t *testing.T) {
 	for _, v := range []View{
 		{Node: "a"},
-		{Node: "a", Loads: []TargetLoad{{Target: ragworthitch.NewBoot("i-1", 1767312000123), Prefill: 8200, Later: 300, Running: 3, Tokens: 27000, EventInterval: 29040 * time.Microsecond}, {Target: ragworthitch.NewBoot("i-2", 0)}},
-			CacheLocations: []Place{{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 1767312000123)}},
-			Crashes:        []poison.Death{{Print: poison.Of("o", "POST", "h", "/p", nil), Boot: ragworthitch.NewBoot("i-1", 1767312000123), Call: "c", Together: true, Well: 3, Org: "o", Service: "llm", Version: "v1"}}},
+		{Node: "a", Loads: []TargetLoad{{Target: ragworthitch.NewBoot("i-1", 1767312000123), Prefill: 8200, YieldingPrefill: 300, Running: 3, Tokens: 27000, EventInterval: 29040 * time.Microsecond}, {Target: ragworthitch.NewBoot("i-2", 0)}},
+			CacheLocations: []CacheLocation{{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 1767312000123)}},
+			Crashes:        []poison.Crash{{Fingerprint: poison.Of("o", "POST", "h", "/p", nil), Boot: ragworthitch.NewBoot("i-1", 1767312000123), Call: "c", InOutage: true, RecentSuccesses: 3, Org: "o", Service: "llm", Version: "v1"}}},
 	} {
 		b, err := EncodeView(v)
 		require.NoError(t, err)
