--- a/poison/book_test.go
+++ b/poison/tracker_test.go
@@ -38,7 +38,7 @@
 		Name  string
 		Steps []string
 	}
-	for _, c := range cases.Load[testCase](t, "testdata/book.yaml") {
+	for _, c := range cases.Load[testCase](t, "testdata/tracker.yaml") {
 		t.Run(c.Name, func(t *testing.T) {
 			var tracker Tracker
 			for _, s := range c.Steps {
@@ -48,7 +48,7 @@
 	}
 }
 
-// runStep runs a step of a case; testdata/book.yaml describes the steps.
+// runStep runs a step of a case; testdata/tracker.yaml describes the steps.
 func runStep(t *testing.T, tracker *Tracker, text string) {
 	f := strings.Fields(text)
 	elapsed, err := time.ParseDuration(f[0])
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -16,23 +16,23 @@
 # variant: file, text, replacement
 EDITS = {
     "product": None,
-    "copies": ("ingress/copy.go", "e == nil || !e.CanReplicate ||", "e == nil || e != nil ||"),
+    "copies": ("ingress/replica.go", "e == nil || !e.CanReplicate ||", "e == nil || e != nil ||"),
     "homes": ("route/engine.go", "preferredBonus = 0.4", "preferredBonus = 0.0"),
-    "recall": ("cachelocation/recall.go", "if !ok || now.Sub(known.recordedAt) > maxAge {", "if true || !ok || now.Sub(known.recordedAt) > maxAge {"),
+    "recall": ("cachelocation/table.go", "if !ok || now.Sub(known.recordedAt) > maxAge {", "if true || !ok || now.Sub(known.recordedAt) > maxAge {"),
     "places in the store": ("instance/locations.go", "for clock.Sleep(ctx, i.locations.saveDelay(clock.Now())) {", "for false && clock.Sleep(ctx, i.locations.saveDelay(clock.Now())) {"),
     "views": ("exchange/exchange.go", "func (e *Exchange) apply(v wire.View) {", "func (e *Exchange) apply(v wire.View) {\n\tv = wire.View{}"),
     "zone trouble": ("route/engine.go", "zoneOutageCost = 6", "zoneOutageCost = 0"),
     "lossy ways": ("ingress/silence.go", "if !a.s.h.links.Stalled(zone, readAt) {", "if true || !a.s.h.links.Stalled(zone, readAt) {"),
     "hedging": ("ingress/plain.go", "if safe && pending > 0 && startAttempt() {", "if false && safe && pending > 0 && startAttempt() {"),
-    "probes": ("ingress/job.go", "if !m.Health().BeginCheck() {", "if true || !m.Health().BeginCheck() {"),
-    "learnt speeds": ("ingress/job.go", "return c.h.paces.Of(c.service()).Pace()", "return pace.Pace{}"),
+    "probes": ("ingress/active_call.go", "if !m.Health().BeginCheck() {", "if true || !m.Health().BeginCheck() {"),
+    "learnt speeds": ("ingress/active_call.go", "return c.h.paces.Of(c.service()).Pace()", "return pace.Pace{}"),
     "speeds in choices": ("route/engine.go", "if slowdown == 0 {", "if true || slowdown == 0 {"),
     "refusal of hopeless streams": ("ingress/stream.go", "if s.failedAttempts == 0 && s.cannotEndInTime(m) {", "if false && s.failedAttempts == 0 && s.cannotEndInTime(m) {"),
-    "ranks": ("ingress/needs.go", "func (s *stream) rank(m *registry.Member) Rank {", "func (s *stream) rank(m *registry.Member) Rank {\n\tif s != nil {\n\t\treturn RankNormal\n\t}"),
+    "ranks": ("ingress/admission.go", "func (s *stream) rank(m *registry.Member) Rank {", "func (s *stream) rank(m *registry.Member) Rank {\n\tif s != nil {\n\t\treturn RankNormal\n\t}"),
     "likely end of leaving instances": ("ingress/handler.go", "if h.Draining() && stream.likelyDuration()", "if false && h.Draining() && stream.likelyDuration()"),
-    "late streams yield": ("ingress/needs.go", 's.call.ResumeOffset != "" || s.firstEventLate(', 's.call.ResumeOffset != "" || false && s.firstEventLate('),
-    "copies yield": ("ingress/copy.go", "const maxReplicaMemoryShare = 0.8", "const maxReplicaMemoryShare = 80"),
-    "stale zones": ("ingress/trouble.go", "lost := z.failed + c.h.targets.StaleRegistrations(c.service(), zone, now)", "lost := z.failed + 0*c.h.targets.StaleRegistrations(c.service(), zone, now)"),
+    "late streams yield": ("ingress/admission.go", 's.call.ResumeOffset != "" || s.firstEventLate(', 's.call.ResumeOffset != "" || false && s.firstEventLate('),
+    "copies yield": ("ingress/replica.go", "const maxReplicaMemoryShare = 0.8", "const maxReplicaMemoryShare = 80"),
+    "stale zones": ("ingress/zone_outage.go", "lost := z.failed + c.h.targets.StaleRegistrations(c.service(), zone, now)", "lost := z.failed + 0*c.h.targets.StaleRegistrations(c.service(), zone, now)"),
 }
 
 
