--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -10,12 +10,12 @@
 	"github.com/ragworthitch/ragworthitch/rwtest/cases"
 )
 
-type hopelessCase struct {
+type deadlineCase struct {
 	Name            string
 	Remaining       time.Duration
 	Prompt, Backlog int
-	After           int64
-	Hopeless        bool
+	Offset          int64
+	Misses          bool
 	Expected        time.Duration // 0: not checked
 }
 
@@ -31,14 +31,14 @@
 	assert.Zero(t, s.ExpectedDuration())
 }
 
-func TestHopeless(t *testing.T) {
-	for _, tt := range cases.Load[hopelessCase](t, "testdata/hopeless.yaml") {
+func TestMissesDeadline(t *testing.T) {
+	for _, tt := range cases.Load[deadlineCase](t, "testdata/deadline.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
-			s := Stream{Pace: testPace, Remaining: tt.Remaining, Prompt: tt.Prompt, Backlog: tt.Backlog, MaxTokens: 1800, TokensPerEvent: 10, ResumeOffset: tt.After}
+			s := Stream{Pace: testPace, Remaining: tt.Remaining, Prompt: tt.Prompt, Backlog: tt.Backlog, MaxTokens: 1800, TokensPerEvent: 10, ResumeOffset: tt.Offset}
 			if tt.Expected > 0 {
 				assert.InDelta(t, tt.Expected, s.ExpectedDuration(), float64(time.Millisecond))
 			}
-			assert.Equal(t, tt.Hopeless, s.MissesDeadline(), "needs %v of %v", s.MinDuration(), tt.Remaining)
+			assert.Equal(t, tt.Misses, s.MissesDeadline(), "needs %v of %v", s.MinDuration(), tt.Remaining)
 		})
 	}
 }
--- a/cachelocation/spans.go
+++ b/cachelocation/spans.go
@@ -31,7 +31,7 @@
 		Row         int // number of its row
 		Locations   []Location
 		rangeNumber int64 // the range starts at rangeNumber * spanLength
-		saved       int   // number of saved Places
+		saved       int   // number of saved Locations
 	}
 )
 
--- a/cachelocation/spans_test.go
+++ b/cachelocation/spans_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func makePlaces(from, to int) []Location {
+func makeLocations(from, to int) []Location {
 	var out []Location
 	for i := from; i < to; i++ {
 		out = append(out, Location{fmt.Sprint(i), engine("e1")})
@@ -21,19 +21,19 @@
 func TestSpans(t *testing.T) {
 	var s Spans
 	assert.Empty(t, s.Unsaved())
-	s.Add(makePlaces(0, 2), start)
+	s.Add(makeLocations(0, 2), start)
 	first := s.Unsaved()
 	assert.Len(t, first, 1)
-	s.Add(makePlaces(2, 3), start.Add(spanLength/2)) // during the save
+	s.Add(makeLocations(2, 3), start.Add(spanLength/2)) // during the save
 	s.Saved(first)
 	second := s.Unsaved()
-	assert.Equal(t, makePlaces(0, 3), second[0].Locations, "a row holds its whole span")
+	assert.Equal(t, makeLocations(0, 3), second[0].Locations, "a row holds its whole span")
 	assert.Equal(t, first[0].Row, second[0].Row)
 
-	s.Add(makePlaces(3, 4), start.Add(spanLength)) // the save failed
+	s.Add(makeLocations(3, 4), start.Add(spanLength)) // the save failed
 	third := s.Unsaved()
 	assert.Len(t, third, 2)
-	assert.Equal(t, makePlaces(3, 4), third[1].Locations)
+	assert.Equal(t, makeLocations(3, 4), third[1].Locations)
 	assert.NotEqual(t, third[0].Row, third[1].Row)
 	s.Saved(third)
 	assert.Empty(t, s.Unsaved())
@@ -44,7 +44,7 @@
 func TestSpansBounded(t *testing.T) {
 	var s Spans
 	for i := range 600 {
-		s.Add(makePlaces(40*i, 40*i+40), start.Add(time.Duration(i)*100*time.Millisecond))
+		s.Add(makeLocations(40*i, 40*i+40), start.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	all := s.Unsaved()
 	assert.Len(t, all, Rows)
--- a/cachelocation/table.go
+++ b/cachelocation/table.go
@@ -1,4 +1,4 @@
-// Package recall records cache locations: which engine holds the KV cache of a
+// Package cachelocation records cache locations: which engine holds the KV cache of a
 // prompt. A stream whose connection was interrupted may be resumed through any
 // entry instance. At the engine with its cached prefix it resumes without a second
 // prefill.
--- a/cachelocation/table_test.go
+++ b/cachelocation/table_test.go
@@ -15,7 +15,7 @@
 
 func engine(id string) ragworthitch.Boot { return ragworthitch.NewBoot(id, 1) }
 
-func TestRecall(t *testing.T) {
+func TestTable(t *testing.T) {
 	var table Table
 	where := func(subject string, now clock.Time) string {
 		b, ok := table.Find(subject, now)
--- a/desired/tracker.go
+++ b/desired/tracker.go
@@ -26,7 +26,7 @@
 
 type (
 	// Tracker holds the newest desired state that this instance has read. Make one with
-	// NewBook.
+	// NewTracker.
 	Tracker struct {
 		ages       Ages
 		current    atomic.Pointer[table]
@@ -58,7 +58,7 @@
 	}
 )
 
-// NewTracker returns a book without a state.
+// NewTracker returns a Tracker without a state.
 func NewTracker(ages Ages) *Tracker { return &Tracker{ages: ages} }
 
 // Apply replaces the state by a newer one and reports whether d was newer.
--- a/desired/tracker_test.go
+++ b/desired/tracker_test.go
@@ -21,9 +21,9 @@
 	judgeCase struct {
 		Name  string
 		Steps []struct {
-			Apply  *stateSpec
-			Proved float64
-			Judge  *judgeSpec
+			Apply    *stateSpec
+			Verified float64
+			Judge    *judgeSpec
 		}
 	}
 
@@ -69,7 +69,7 @@
 					assert.Equal(t, s.Judge.Want, verdict(g, err), "step %d", i)
 					assert.Equal(t, s.Judge.Org, g.Org, "step %d", i)
 				default:
-					tracker.MarkVerified(at(s.Proved))
+					tracker.MarkVerified(at(s.Verified))
 				}
 			}
 		})
@@ -88,10 +88,10 @@
 	return g.Route.Name()
 }
 
-// FuzzBook runs random sequences of changes to the desired state, delayed reads and
+// FuzzTracker runs random sequences of changes to the desired state, delayed reads and
 // calls. It guards against decisions by an older version than before, and against
 // accepting a key that was revoked longer ago than Ages.Key.
-func FuzzBook(f *testing.F) {
+func FuzzTracker(f *testing.F) {
 	for seed := range uint64(200) {
 		f.Add(seed)
 	}
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -51,8 +51,8 @@
 	ReadResult[T any] struct {
 		Rows    []T
 		Version int64
-		// Relayed is set if another instance read the rows from the store. Proved
-		// and Away are only set then.
+		// Relayed is set if another instance read the rows from the store. AsOf
+		// and UnavailableAt are only set then.
 		Relayed       bool
 		AsOf          clock.Time // Rows contains all changes up to this time
 		UnavailableAt clock.Time // when the store last failed to answer that instance; 0: never
@@ -90,7 +90,7 @@
 	Follower[T any] struct {
 		Name           string // of the table, for logs
 		Source         Source[T]
-		Relay          Relay[T] // called in place of Source while its Use returns true; nil: never
+		Relay          Relay[T] // called in place of Source while its ShouldAsk returns true; nil: never
 		Sink           Sink[T]
 		MaxWait        time.Duration // how long a call waits for changes
 		MinInterval    time.Duration // minimum time between the starts of two calls
@@ -129,7 +129,7 @@
 		}
 		f.relayFailed = errors.Is(err, errRelayFailed)
 		if f.relayFailed {
-			continue // the relay logs the cause and returns false from Use for a while
+			continue // the relay logs the cause and returns false from ShouldAsk for a while
 		}
 		f.recordOutcome(err, start)
 		if f.AwaitsRecovery && f.failures > 1 {
--- a/discovery/sinks.go
+++ b/discovery/sinks.go
@@ -65,25 +65,25 @@
 	// InstanceSink applies the rows of instances to the peers, crash records and
 	// roll-outs. OnRead is called after each read of the whole table.
 	InstanceSink struct {
-		Exchange *exchange.Exchange
-		Crashes  *poison.Tracker
-		Rollouts *rollout.Tracker
-		OnRead   func()
+		Exchange      *exchange.Exchange
+		PoisonTracker *poison.Tracker
+		Rollouts      *rollout.Tracker
+		OnRead        func()
 	}
 
 	// OperatorSink applies desired states to Desired and orders to Rollouts.
 	OperatorSink struct {
-		Desired  *desired.Tracker
-		Rollouts *rollout.Tracker
-		Log      zerolog.Logger
+		DesiredState *desired.Tracker
+		Rollouts     *rollout.Tracker
+		Log          zerolog.Logger
 	}
 
 	// TargetSink applies targets' entries to a Registry. Make one with
 	// NewTargetSink.
 	TargetSink struct {
-		targets *registry.Registry
-		desired *desired.Tracker
-		log     zerolog.Logger
+		targets      *registry.Registry
+		desiredState *desired.Tracker
+		log          zerolog.Logger
 		// Rollouts receives the versions of targets; may be nil.
 		Rollouts      *rollout.Tracker
 		unavailableAt clock.Time // when the store was last unavailable; 0: never
@@ -120,11 +120,11 @@
 			s.Rollouts.Order(r.Order.Order, clock.Now())
 		}
 	}
-	s.Desired.MarkVerified(at)
+	s.DesiredState.MarkVerified(at)
 }
 
 func (s OperatorSink) applyState(state *ragworthitch.DesiredState, at clock.Time) {
-	if s.Desired.Apply(state) {
+	if s.DesiredState.Apply(state) {
 		s.Log.Info().Int64("version", state.Version()).Int("routes", len(state.Routes())).Int("orgs", len(state.Organisations())).
 			Dur("readTook", clock.Now().Sub(at)).Msg("desired: new state in force")
 	}
@@ -135,14 +135,14 @@
 
 // Replace applies the whole table.
 func (s InstanceSink) Replace(rows []InstanceRow, at clock.Time) {
-	s.Crashes.ApplySnapshot(s.applyRows(rows, at), clock.Now())
+	s.PoisonTracker.ApplySnapshot(s.applyRows(rows, at), clock.Now())
 	s.Rollouts.MarkStatusesRead()
 	s.OnRead()
 }
 
 // ApplyChanges applies changed rows.
 func (s InstanceSink) ApplyChanges(rows []InstanceRow, at clock.Time) {
-	s.Crashes.ApplyRows(s.applyRows(rows, at), clock.Now())
+	s.PoisonTracker.ApplyRows(s.applyRows(rows, at), clock.Now())
 }
 
 // applyRows applies the rows of peers and roll-outs and returns the crashes.
@@ -177,8 +177,8 @@
 
 // NewTargetSink returns a sink that applies entries to targets. onRead is called after
 // each read of the whole table.
-func NewTargetSink(targets *registry.Registry, desiredStates *desired.Tracker, log zerolog.Logger, onRead func()) *TargetSink {
-	return &TargetSink{targets: targets, desired: desiredStates, log: log, onRead: onRead}
+func NewTargetSink(targets *registry.Registry, desiredState *desired.Tracker, log zerolog.Logger, onRead func()) *TargetSink {
+	return &TargetSink{targets: targets, desiredState: desiredState, log: log, onRead: onRead}
 }
 
 // MarkUnavailable records that the store was unavailable at a time.
@@ -219,7 +219,7 @@
 // service that the desired state doesn't contain. A target cannot change its service,
 // so another process wrote the entry.
 func (s *TargetSink) changesService(t ragworthitch.Target) bool {
-	state, m := s.desired.State(), s.targets.Boot(t.Boot())
+	state, m := s.desiredState.State(), s.targets.Boot(t.Boot())
 	if state == nil || m == nil || m.Target().Service() == t.Service() {
 		return false
 	}
@@ -236,7 +236,7 @@
 
 func (s *TargetSink) put(t ragworthitch.Target) {
 	maxConns := 0
-	if d := s.desired.State(); d != nil {
+	if d := s.desiredState.State(); d != nil {
 		if svc, ok := d.Service(t.Service()); ok {
 			maxConns = svc.MaxConns()
 		}
--- a/entry/call.go
+++ b/entry/call.go
@@ -16,7 +16,7 @@
 	"github.com/ragworthitch/ragworthitch/settings"
 )
 
-// Claims of non-repeatable calls: the prefix of their rows and their states.
+// Claims of non-idempotent calls: the prefix of their rows and their states.
 const (
 	claimPrefix   = "once/"
 	stateClaimed  = "claimed"
@@ -45,8 +45,8 @@
 	}
 )
 
-// Call runs a plain service call. A repeatable call that fails is retried at
-// another target. A non-repeatable call is claimed in the store first and runs
+// Call runs a plain service call. An idempotent call that fails is retried at
+// another target. A non-idempotent call is claimed in the store first and runs
 // only if no other call holds the claim; a later call with the same key gets the
 // recorded answer. The error wraps ErrNotRun if the call certainly did not run.
 // It wraps ErrUnknownOutcome if the call may have run; no call runs again under
@@ -138,7 +138,7 @@
 			got, gerr := e.store.Get(ctx, key)
 			switch {
 			case gerr == nil:
-				return got, nil // callNonRepeatable checks whose claim it is
+				return got, nil // callNonIdempotent checks whose claim it is
 			case errors.Is(gerr, platform.ErrNotFound):
 				e.stats.CallsNotRun.Add(1)
 				return platform.Row{}, fmt.Errorf("%w: the store has no claim row after a failed write", ErrNotRun)
--- a/entry/call_test.go
+++ b/entry/call_test.go
@@ -80,9 +80,9 @@
 	assert.Equal(t, 1, svc.Runs("k3"))
 }
 
-// A repeatable call that fails must not be reported as a conflict, because the
+// An idempotent call that fails must not be reported as a conflict, because the
 // caller may retry.
-func TestRepeatableCallFailed(t *testing.T) {
+func TestIdempotentCallFailed(t *testing.T) {
 	_, svc, e := startEntryWithService(t)
 	svc.FailsCalls.Store(true)
 	_, err := e.Call(context.Background(), ragworthitch.NewRequest(ragworthitch.RequestParams{ID: "s1", Org: "o", Kind: ragworthitch.KindShort, Op: "status"}))
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -20,8 +20,8 @@
 
 const (
 	maxAttempts     = 6 // of a stream
-	maxCallAttempts = 3 // of a repeatable call
-	// objectiveShare is the latency objective of a repeatable call, as a share
+	maxCallAttempts = 3 // of an idempotent call
+	// objectiveShare is the latency objective of an idempotent call, as a share
 	// of the call's timeout.
 	objectiveShare = 1.0 / 3
 	// streamTimeout is well above the 11 minutes that the longest answer (16,384
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -27,7 +27,7 @@
 
 const (
 	// pollInterval is how often an instance looks for ended calls and first events
-	// to report. New calls are reported at once, by Tell: with late reports all
+	// to report. New calls are reported at once, by SendNow: with late reports all
 	// instances would send a burst of calls to the same idle targets.
 	pollInterval = 50 * time.Millisecond
 	// minViewInterval is the least time between two views on a connection.
@@ -56,7 +56,7 @@
 		zone           string
 		targets        *registry.Registry
 		cacheLocations *cachelocation.Table
-		crashes        *poison.Tracker
+		poisonTracker  *poison.Tracker
 		log            zerolog.Logger
 		dial           func(ctx context.Context, addr string) (conn, error)
 
@@ -89,8 +89,8 @@
 )
 
 // New returns the exchange of the named instance.
-func New(node, zone string, targets *registry.Registry, cacheLocations *cachelocation.Table, crashes *poison.Tracker, log zerolog.Logger) *Exchange {
-	return &Exchange{node: node, zone: zone, targets: targets, cacheLocations: cacheLocations, crashes: crashes, log: log, dial: dialView,
+func New(node, zone string, targets *registry.Registry, cacheLocations *cachelocation.Table, poisonTracker *poison.Tracker, log zerolog.Logger) *Exchange {
+	return &Exchange{node: node, zone: zone, targets: targets, cacheLocations: cacheLocations, poisonTracker: poisonTracker, log: log, dial: dialView,
 		incoming: map[string]*wire.Conn{}, known: map[string]Peer{}, links: map[string]*link{}, updated: make(chan struct{})}
 }
 
@@ -104,7 +104,7 @@
 	e.updated = make(chan struct{})
 }
 
-// nextUpdate returns a channel that is closed at the next Tell.
+// nextUpdate returns a channel that is closed at the next SendNow.
 func (e *Exchange) nextUpdate() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -164,7 +164,7 @@
 		updated := e.nextUpdate()
 		v := e.changesSince(sent)
 		v.CacheLocations, locationCount = e.cacheLocationsSince(locationCount)
-		v.Crashes, crashCount = e.crashes.CrashesSince(crashCount)
+		v.Crashes, crashCount = e.poisonTracker.CrashesSince(crashCount)
 		if now := clock.Now(); len(v.Loads) > 0 || len(v.CacheLocations) > 0 || len(v.Crashes) > 0 || now.Sub(lastSent) >= maxViewInterval {
 			lastSent = now
 			sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
@@ -293,7 +293,7 @@
 func (e *Exchange) applyCrashes(crashes []poison.Crash, now clock.Time) {
 	anyNew := false
 	for _, c := range crashes {
-		anyNew = e.crashes.RecordCrash(c, poison.SourcePeer, now) || anyNew
+		anyNew = e.poisonTracker.RecordCrash(c, poison.SourcePeer, now) || anyNew
 	}
 	if anyNew {
 		e.SendNow()
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -25,7 +25,7 @@
 type instance struct {
 	targets        registry.Registry
 	cacheLocations cachelocation.Table
-	crashes        poison.Tracker
+	poisonTracker  poison.Tracker
 	ex             *exchange.Exchange
 	addr           string
 	stop           context.CancelFunc
@@ -35,7 +35,7 @@
 func start(t *testing.T, name string) *instance {
 	n := &instance{}
 	n.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}), 0)
-	n.ex = exchange.New(name, "ate", &n.targets, &n.cacheLocations, &n.crashes, zerolog.Nop())
+	n.ex = exchange.New(name, "ate", &n.targets, &n.cacheLocations, &n.poisonTracker, zerolog.Nop())
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	go n.ex.Run(ctx)
--- a/exchange/spread_test.go
+++ b/exchange/spread_test.go
@@ -61,14 +61,14 @@
 
 	// instance is a simulated entry instance.
 	instance struct {
-		peer    Peer
-		crashes poison.Tracker
-		ex      *Exchange
-		stop    context.CancelFunc
-		mu      sync.Mutex
-		ended   bool
-		frozen  time.Time // end of the pause
-		silent  time.Time // end of the fault
+		peer          Peer
+		poisonTracker poison.Tracker
+		ex            *Exchange
+		stop          context.CancelFunc
+		mu            sync.Mutex
+		ended         bool
+		frozen        time.Time // end of the pause
+		silent        time.Time // end of the fault
 	}
 
 	// spreadConn is a connection between two instances.
@@ -138,7 +138,7 @@
 	print := poison.Of("o", "POST", "h", "/p", nil)
 	start, seen := time.Now(), len(undisturbed)
 	for i := range 3 {
-		all[i].crashes.RecordCrash(poison.Crash{Fingerprint: print, Boot: ragworthitch.NewBoot(fmt.Sprint("i-", i), 0), Org: "o", Service: "llm"}, poison.SourceOwn, clock.Now())
+		all[i].poisonTracker.RecordCrash(poison.Crash{Fingerprint: print, Boot: ragworthitch.NewBoot(fmt.Sprint("i-", i), 0), Org: "o", Service: "llm"}, poison.SourceOwn, clock.Now())
 		all[i].ex.SendNow()
 	}
 	time.AfterFunc(time.Second, func() {
@@ -156,7 +156,7 @@
 		r.recordCall(undisturbed[rng.IntN(len(undisturbed))], print, rng.Float64() < callRate*time.Millisecond.Seconds(), time.Since(start))
 		unaware = append(unaware, undisturbed[seen:]...)
 		seen = len(undisturbed)
-		unaware = slices.DeleteFunc(unaware, func(n *instance) bool { return n.crashes.Status(print, clock.Now()).Quarantined })
+		unaware = slices.DeleteFunc(unaware, func(n *instance) bool { return n.poisonTracker.Status(print, clock.Now()).Quarantined })
 		unawareCount := len(unaware)
 		f.mu.Unlock()
 		if unawareCount == 0 && r.spreadTime == observedTime && (c.Started == 0 || time.Since(start) > time.Second) {
@@ -173,7 +173,7 @@
 		return
 	}
 	r.calls++
-	if n.crashes.Status(print, clock.Now()).Quarantined {
+	if n.poisonTracker.Status(print, clock.Now()).Quarantined {
 		return
 	}
 	r.sent++
@@ -185,7 +185,7 @@
 // add creates an instance that knows all others and is known to them.
 func (f *fleet) add(i, zones int) *instance {
 	n := &instance{peer: Peer{Node: fmt.Sprint("n-", i), Zone: fmt.Sprint("z", i%zones), Addr: fmt.Sprint("10.0.0.", i)}}
-	n.ex = New(n.peer.Node, n.peer.Zone, &registry.Registry{}, &cachelocation.Table{}, &n.crashes, zerolog.Nop())
+	n.ex = New(n.peer.Node, n.peer.Zone, &registry.Registry{}, &cachelocation.Table{}, &n.poisonTracker, zerolog.Nop())
 	n.ex.dial = func(ctx context.Context, addr string) (conn, error) { return f.dial(ctx, n, addr) }
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/experiment/instance.go
+++ b/experiment/instance.go
@@ -40,16 +40,16 @@
 
 // instance is an entry instance.
 type instance struct {
-	name          string
-	sim           *simulation
-	targets       registry.Registry
-	locations     cachelocation.Table
-	locationsSent uint64 // observed cache locations in reports so far
-	crashes       poison.Tracker
-	crashesSent   uint64 // recorded crashes in reports so far
-	handler       *ingress.Handler
-	ctx           context.Context // ends when the instance is killed
-	cancel        context.CancelFunc
+	name           string
+	sim            *simulation
+	targets        registry.Registry
+	cacheLocations cachelocation.Table
+	locationsSent  uint64 // observed cache locations in reports so far
+	poisonTracker  poison.Tracker
+	crashesSent    uint64 // recorded crashes in reports so far
+	handler        *ingress.Handler
+	ctx            context.Context // ends when the instance is killed
+	cancel         context.CancelFunc
 }
 
 func newInstance(s *simulation, name, zone string) *instance {
@@ -61,10 +61,10 @@
 	for _, node := range s.cluster.Nodes() {
 		in.targets.Put(s.cluster.Target(node), 0)
 	}
-	in.crashes.DryRun = s.variant.NoQuarantine
-	cfg := ingress.Config{Zone: zone, DesiredState: states, Targets: &in.targets, CacheLocations: &in.locations, RetryBudget: budget.New(retryLimit, s.countEntries),
+	in.poisonTracker.DryRun = s.variant.NoQuarantine
+	cfg := ingress.Config{Zone: zone, DesiredState: states, Targets: &in.targets, CacheLocations: &in.cacheLocations, RetryBudget: budget.New(retryLimit, s.countEntries),
 		Sender: recordingSender{emulator.Sender{Cluster: s.cluster, Zone: zone}, s}, Engines: s.variant.Engines, FixedPace: s.variant.FixedPace,
-		PoisonTracker: &in.crashes, ClaimProbe: in.claim, Log: zerolog.Nop()}
+		PoisonTracker: &in.poisonTracker, ClaimProbe: in.claim, Log: zerolog.Nop()}
 	if !s.variant.NoReports {
 		cfg.NotifyPeers = in.scheduleReport
 	}
@@ -91,18 +91,18 @@
 func (in *instance) report() {
 	s := in.sim
 	s.mu.Lock()
-	locations, n := in.locations.RecordedSince(in.locationsSent)
+	locations, n := in.cacheLocations.RecordedSince(in.locationsSent)
 	in.locationsSent = n
-	crashes, n := in.crashes.CrashesSince(in.crashesSent)
+	crashes, n := in.poisonTracker.CrashesSince(in.crashesSent)
 	in.crashesSent = n
 	s.mu.Unlock()
-	s.store.save(&in.crashes)
+	s.store.save(&in.poisonTracker)
 	for _, peer := range s.allEntries() {
 		if peer == in {
 			continue
 		}
 		for _, crash := range crashes {
-			peer.crashes.RecordCrash(crash, poison.SourcePeer, clock.Now())
+			peer.poisonTracker.RecordCrash(crash, poison.SourcePeer, clock.Now())
 		}
 		for _, m := range in.targets.All() {
 			if member := peer.targets.Boot(m.Target().Boot()); member != nil {
@@ -111,7 +111,7 @@
 			}
 		}
 		for _, location := range locations {
-			peer.locations.RecordReport(location, clock.Now())
+			peer.cacheLocations.RecordReport(location, clock.Now())
 		}
 	}
 }
--- a/experiment/poison.go
+++ b/experiment/poison.go
@@ -131,7 +131,7 @@
 	rows := sim.store.list()
 	for i, old := range sim.allEntries() {
 		entry := newInstance(sim, old.name, sim.workload.Zones[i%len(sim.workload.Zones)])
-		entry.crashes.ApplySnapshot(rows, clock.Now())
+		entry.poisonTracker.ApplySnapshot(rows, clock.Now())
 		old.cancel()
 		sim.mu.Lock()
 		sim.entries[i] = entry
@@ -155,7 +155,7 @@
 		s.claimedProbes = map[poison.Fingerprint]int{}
 	}
 	s.claimedProbes[probe.Fingerprint] = probe.Count
-	return in.crashes.Claim(probe, int64(probe.Count), clock.Now())
+	return in.poisonTracker.ClaimProbe(probe, int64(probe.Count), clock.Now())
 }
 
 func (s *store) setUnavailable(unavailable bool) {
@@ -165,7 +165,7 @@
 }
 
 // save applies an entry instance's pending edits to the stored rows.
-func (s *store) save(crashes *poison.Tracker) {
+func (s *store) save(poisonTracker *poison.Tracker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unavailable {
@@ -174,7 +174,7 @@
 	if s.rows == nil {
 		s.rows = map[poison.RowKey]poison.Row{}
 	}
-	edits, _ := crashes.TakeEdits()
+	edits, _ := poisonTracker.TakeEdits()
 	for _, e := range edits {
 		for _, k := range e.Drop {
 			delete(s.rows, k)
--- a/handlers/caller.go
+++ b/handlers/caller.go
@@ -167,7 +167,7 @@
 	case errors.Is(err, entry.ErrNoTarget), errors.Is(err, entry.ErrNotRun):
 		writeError(w, http.StatusServiceUnavailable, err.Error(), true, c.retryAfter())
 	default:
-		// A repeatable call has failed and may have run.
+		// An idempotent call has failed and may have run.
 		writeError(w, http.StatusBadGateway, err.Error(), false, c.retryAfter())
 	}
 }
--- a/health/health.go
+++ b/health/health.go
@@ -54,7 +54,7 @@
 		failedAt            clock.Time
 		servedAt            clock.Time // time of the last data or successful answer
 		checking            bool
-		lost                chan struct{} // closed when the target fails; nil until Lost is called
+		nextFailure         chan struct{} // closed when the target fails; nil until NextFailure is called
 
 		errorRate   float64 // share of failed calls; decays
 		errorRateAt clock.Time
@@ -70,14 +70,14 @@
 }
 
 // Failed ejects a target that doesn't serve, longer after each further failure,
-// and closes the channel that Lost returned. It returns the remaining time of the
+// and closes the channel that NextFailure returned. It returns the remaining time of the
 // ejection.
 func (s *State) Failed(now clock.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lost != nil {
-		close(s.lost)
-		s.lost = nil
+	if s.nextFailure != nil {
+		close(s.nextFailure)
+		s.nextFailure = nil
 	}
 	if now < s.ejectedUntil {
 		return s.ejectedUntil.Sub(now)
@@ -112,7 +112,7 @@
 }
 
 // BeginCheck starts a connection check of the target. It returns false if a check
-// is already in progress; otherwise the caller calls EndProbe after the check.
+// is already in progress; otherwise the caller calls EndCheck after the check.
 func (s *State) BeginCheck() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,10 +134,10 @@
 func (s *State) NextFailure() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lost == nil {
-		s.lost = make(chan struct{})
+	if s.nextFailure == nil {
+		s.nextFailure = make(chan struct{})
 	}
-	return s.lost
+	return s.nextFailure
 }
 
 // Answered records an answer and its response time. failed means that the target
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -57,7 +57,7 @@
 }
 
 // Guards against a waiter that isn't notified when an ejected target fails again.
-func TestLostWakesEveryTime(t *testing.T) {
+func TestNextFailureWakesEveryTime(t *testing.T) {
 	var s State
 	for i := range 3 {
 		lost := s.NextFailure()
--- a/ingress/active_call.go
+++ b/ingress/active_call.go
@@ -96,8 +96,8 @@
 	candidates := make([]route.PlainCandidate, len(ms))
 	for i, m := range ms {
 		t := m.Target()
-		candidates[i] = route.PlainCandidate{Takes: c.mayReceive(m, now) && !c.tried.has(m), LatencyMs: m.Health().Latency(),
-			Errors: m.Health().ErrorRate(now), Running: m.Work().All().Running, Slots: t.Slots(), Cold: m.IsCold(now),
+		candidates[i] = route.PlainCandidate{AcceptsCalls: c.mayReceive(m, now) && !c.tried.has(m), LatencyMs: m.Health().Latency(),
+			ErrorRate: m.Health().ErrorRate(now), Running: m.Work().All().Running, Slots: t.Slots(), Cold: m.IsCold(now),
 			SameZone: t.Zone() == c.h.zone, Loss: c.h.links.Loss(t.Zone(), now), Jitter: rand.Float64()}
 	}
 	if i := route.Pick(candidates, route.Plain{}, 0); i >= 0 {
@@ -126,9 +126,9 @@
 	for i, m := range ms {
 		t := m.Target()
 		load, interval := m.Work().All(), c.interval(m, p, now)
-		candidates[i] = route.EngineCandidate{Takes: c.mayReceive(m, now), Backlog: float64(load.Prefill) / usualPrompt, Running: load.Running, Memory: memoryShare(load.Tokens, c.grant.Service.Engine()),
+		candidates[i] = route.EngineCandidate{AcceptsCalls: c.mayReceive(m, now), Backlog: float64(load.Prefill) / usualPrompt, Running: load.Running, Memory: memoryShare(load.Tokens, c.grant.Service.Engine()),
 			Slowdown: slowness(interval, p), Answer: generation,
-			MissesObjective: c.firstEventLate(load, interval, p, now), Errors: m.Health().ErrorRate(now), SameZone: t.Zone() == c.h.zone, ZoneOutage: outageProbability[t.Zone()],
+			MissesObjective: c.firstEventLate(load, interval, p, now), ErrorRate: m.Health().ErrorRate(now), SameZone: t.Zone() == c.h.zone, ZoneOutage: outageProbability[t.Zone()],
 			Loss: c.h.links.Loss(t.Zone(), now), Cold: m.IsCold(now),
 			Preference: preferred[i], Returning: c.call.ResumeOffset != "",
 			Excluded: slices.Contains(excludedZones, t.Zone()) || slices.Contains(excluded, m), Jitter: rand.Float64()}
--- a/ingress/admission.go
+++ b/ingress/admission.go
@@ -8,15 +8,15 @@
 	"github.com/ragworthitch/ragworthitch/registry"
 )
 
-// cannotEndInTime reports whether the stream cannot end before its caller's timeout, even
+// missesDeadline reports whether the stream cannot end before its caller's timeout, even
 // at the best engine.
-func (s *stream) cannotEndInTime(best *registry.Member) bool {
+func (s *stream) missesDeadline(best *registry.Member) bool {
 	interval := s.activeCall.interval(best, s.pace(), clock.Now())
 	return s.admission(best.Work().All().Prefill, interval).MissesDeadline()
 }
 
-// likelyDuration returns how long the stream usually takes at an idle engine.
-func (s *stream) likelyDuration() time.Duration { return s.admission(0, 0).ExpectedDuration() }
+// expectedDuration returns how long the stream usually takes at an idle engine.
+func (s *stream) expectedDuration() time.Duration { return s.admission(0, 0).ExpectedDuration() }
 
 // admission returns the stream's figures for admission, behind a backlog of prefill tokens
 // at an engine with the given event interval.
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -51,7 +51,7 @@
 		targetLost       bool // the target was found lost, and nothing has been received since
 		overBudgetLogged bool // the exhausted retry budget has been logged
 		decodeIntervals  decodeIntervals
-		speedRecorded    bool // the speed of the target's version has been recorded
+		paceRecorded     bool // the speed of the target's version has been recorded
 		failureRecorded  bool // a failure of the target's version has been recorded
 	}
 
@@ -167,7 +167,7 @@
 			if result.event.Raw != nil {
 				a.member.Health().RecordContact(result.readAt)
 				a.observeEvent(result.readAt)
-				a.recordSpeed()
+				a.recordPace()
 				if err := a.forward(head, result.event); err != nil {
 					return err
 				}
@@ -228,7 +228,7 @@
 			return nil // the caller has the event
 		}
 		if !s.isNextID(event.ID, a.newEvents == 0) {
-			return errEventGap
+			return errMissingEvent
 		}
 		a.newEvents++
 	}
--- a/ingress/canary.go
+++ b/ingress/canary.go
@@ -21,9 +21,9 @@
 	// baseline.
 	canaryTargetShare = 0.2
 	minCanaryTargets  = 3
-	// The speed of an attempt is recorded after speedSampleEvents events, and only if at
+	// The pace of an attempt is recorded after speedSampleEvents events, and only if at
 	// least minDecodeIntervals event intervals had no prefill beside them.
-	speedSampleEvents  = 10
+	paceSampleEvents   = 10
 	minDecodeIntervals = 3
 )
 
@@ -110,12 +110,12 @@
 	d.count++
 }
 
-// recordSpeed records what the first events of an attempt say about its target's version.
-func (a *attempt) recordSpeed() {
-	if a.speedRecorded || !a.fromStart || a.events < speedSampleEvents || a.decodeIntervals.count < minDecodeIntervals || !a.s.h.rollouts.Active() {
+// recordPace records what the first events of an attempt say about its target's version.
+func (a *attempt) recordPace() {
+	if a.paceRecorded || !a.fromStart || a.events < paceSampleEvents || a.decodeIntervals.count < minDecodeIntervals || !a.s.h.rollouts.Active() {
 		return
 	}
-	a.speedRecorded = true
+	a.paceRecorded = true
 	a.s.recordSymptom(a.member, rollout.Failing, false)
 	var firstEventRatio, intervalRatio float64
 	if a.expectedAtSend > 0 {
--- a/ingress/canary_test.go
+++ b/ingress/canary_test.go
@@ -16,7 +16,7 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// versionSender counts the orders for each version. Targets of lostVersion refuse
+// versionSender counts the attempts for each version. Targets of lostVersion refuse
 // connections.
 type versionSender struct {
 	lostVersion string
@@ -56,9 +56,9 @@
 func TestCallsFollowRollout(t *testing.T) {
 	const calls = 400 // the roll-out allows 10 % of them plus 50 as canary calls
 	tests := []struct {
-		state                rollout.State
-		lostVersion          string
-		minOrders, maxOrders int // for the new version
+		state                    rollout.State
+		lostVersion              string
+		minAttempts, maxAttempts int // for the new version
 	}{
 		{rollout.Running, "none", 1, calls/10 + 50},
 		{rollout.Moving, "none", calls, calls},
@@ -75,8 +75,8 @@
 			for n := range calls {
 				serve(h, &Call{ID: fmt.Sprint(n), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Prompt: 10, Received: clock.Now()})
 			}
-			assert.GreaterOrEqual(t, s.attempts["v2"], tt.minOrders)
-			assert.LessOrEqual(t, s.attempts["v2"], tt.maxOrders)
+			assert.GreaterOrEqual(t, s.attempts["v2"], tt.minAttempts)
+			assert.LessOrEqual(t, s.attempts["v2"], tt.maxAttempts)
 		})
 	}
 }
--- a/ingress/events.go
+++ b/ingress/events.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	errEventGap      = errors.New("ingress: event id does not follow the last one sent")
+	errMissingEvent  = errors.New("ingress: event id does not follow the last one sent")
 	eventTerminators = [][]byte{[]byte("\n\n"), []byte("\n\r\n")}
 	idField          = []byte("id:")
 )
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -92,7 +92,7 @@
 		// Rollouts tracks the roll-outs of services; nil: none.
 		Rollouts *rollout.Tracker
 		// ClaimProbe claims the probe of a quarantined request and reports whether this
-		// instance got it; nil: claims it in Crashes only.
+		// instance got it; nil: claims it in PoisonTracker only.
 		ClaimProbe func(ctx context.Context, t poison.Probe) bool
 		Log        zerolog.Logger
 		Scope      tally.Scope
@@ -114,7 +114,7 @@
 		cfg.Rollouts = &rollout.Tracker{Log: cfg.Log}
 	}
 	if cfg.ClaimProbe == nil {
-		cfg.ClaimProbe = func(_ context.Context, p poison.Probe) bool { return cfg.PoisonTracker.Claim(p, 0, clock.Now()) }
+		cfg.ClaimProbe = func(_ context.Context, p poison.Probe) bool { return cfg.PoisonTracker.ClaimProbe(p, 0, clock.Now()) }
 	}
 	if cfg.Engines == nil {
 		cfg.Engines = route.Engines{}
@@ -133,7 +133,7 @@
 	h.draining.Store(true)
 }
 
-// Draining reports whether Leave was called.
+// Draining reports whether Drain was called.
 func (h *Handler) Draining() bool { return h.draining.Load() }
 
 // Active returns the number of calls in progress.
@@ -171,7 +171,7 @@
 		return
 	}
 	stream := newStream(c)
-	if h.Draining() && stream.likelyDuration() > clock.Time(h.drainDeadline.Load()).Sub(now) {
+	if h.Draining() && stream.expectedDuration() > clock.Time(h.drainDeadline.Load()).Sub(now) {
 		// The stream would be cut off at the end of the grace period.
 		c.reject("draining", drainingRetryAfter)
 		return
@@ -224,8 +224,8 @@
 	w.WriteHeader(status)
 }
 
-// copyHead copies the headers of a reply to the caller's answer.
-func copyHead(w http.ResponseWriter, reply *Reply) {
+// copyHeaders copies the headers of a reply to the caller's answer.
+func copyHeaders(w http.ResponseWriter, reply *Reply) {
 	header := w.Header()
 	for k, v := range reply.Header {
 		header[k] = v
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -204,7 +204,7 @@
 
 // writeAnswer sends a whole answer to the caller.
 func (c *activeCall) writeAnswer(result *attemptResult) {
-	copyHead(c.w, result.reply)
+	copyHeaders(c.w, result.reply)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(result.body)))
 	c.w.WriteHeader(result.reply.Status)
 	if _, err := c.w.Write(result.body); err != nil {
--- a/ingress/poison.go
+++ b/ingress/poison.go
@@ -45,7 +45,7 @@
 }
 
 // takeProbe claims the probe of a quarantined request if one is due, and reports whether
-// this call got it. A probe is due when the verdict's wait is over, or at once if the
+// this call got it. A probe is due when the status's wait is over, or at once if the
 // service has targets of a version that the request has not crashed.
 func (c *activeCall) takeProbe(ctx context.Context, st poison.Status) bool {
 	safeVersion := func(m *registry.Member) bool { return !st.HasCrashed(m.Target().Version()) }
--- a/ingress/replica_test.go
+++ b/ingress/replica_test.go
@@ -16,7 +16,7 @@
 )
 
 // replicaSender breaks the first attempt after an event, once another target has taken
-// over the address of the replica target. It records the order of the second attempt.
+// over the address of the replica target. It records the second attempt.
 type replicaSender struct {
 	h             *Handler
 	service       string // of the target that takes over the address
@@ -72,7 +72,7 @@
 	}
 }
 
-// zoneSender breaks the first two attempts and records all orders.
+// zoneSender breaks the first two attempts and records all attempts.
 type zoneSender struct {
 	attempts []*AttemptRequest
 }
--- a/ingress/return_test.go
+++ b/ingress/return_test.go
@@ -16,7 +16,7 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// addressSender records the addresses of orders and answers each with a complete stream.
+// addressSender records the addresses of attempts and answers each with a complete stream.
 type addressSender struct{ addresses []string }
 
 func (s *addressSender) Send(_ context.Context, r *AttemptRequest) (*Reply, error) {
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -146,7 +146,7 @@
 		if objective == 0 {
 			objective = defaultFirstEventObjective
 		}
-		return scaled(unknownSpeedTimeoutShare, objective)
+		return scaled(unknownPaceTimeoutShare, objective)
 	}
 	p := a.s.pace()
 	factor, margin := float64(firstEventTimeoutFactor), firstEventTimeoutMargin
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -18,17 +18,17 @@
 	// A stream without a first event fails over after firstEventTimeoutFactor times the
 	// expected time, or spreadTimeoutFactor times the recent spread if that is more, plus
 	// firstEventTimeoutMargin times the prefill of a usual prompt. The lowRank values
-	// apply to RankLast, since those streams wait behind others. The timeouts are long
+	// apply to RankLow, since those streams wait behind others. The timeouts are long
 	// because a second prefill costs as much as the first.
 	firstEventTimeoutFactor = 2
 	firstEventTimeoutMargin = 1.5
 	lowRankTimeoutFactor    = 2.5
 	lowRankTimeoutMargin    = 3
 	spreadTimeoutFactor     = 1.3
-	// unknownSpeedTimeoutShare of the objective for first events is the timeout while the
-	// speed of the engines is unknown, which leaves the rest for another attempt.
+	// unknownPaceTimeoutShare of the objective for first events is the timeout while the
+	// pace of the engines is unknown, which leaves the rest for another attempt.
 	// defaultFirstEventObjective is for routes without an objective.
-	unknownSpeedTimeoutShare   = 0.5
+	unknownPaceTimeoutShare    = 0.5
 	defaultFirstEventObjective = 4500 * time.Millisecond
 )
 
@@ -68,7 +68,7 @@
 			s.abort(ctx, http.StatusBadGateway, "no target available", nil)
 			return
 		}
-		if s.failedAttempts == 0 && s.cannotEndInTime(m) {
+		if s.failedAttempts == 0 && s.missesDeadline(m) {
 			s.reject("cannot end in time", 0)
 			return
 		}
@@ -244,7 +244,7 @@
 
 // sendHead sends the head of the answer to the caller.
 func (s *stream) sendHead(head *Reply) {
-	copyHead(s.w, head)
+	copyHeaders(s.w, head)
 	s.w.WriteHeader(head.Status)
 	s.headSent = true
 }
--- a/ingress/yield_test.go
+++ b/ingress/yield_test.go
@@ -15,7 +15,7 @@
 	"github.com/ragworthitch/ragworthitch/upstream"
 )
 
-// recordingSender records the last order and its target's load when the order arrives.
+// recordingSender records the last attempt and its target's load when the attempt arrives.
 type recordingSender struct {
 	attempt *AttemptRequest
 	load    registry.Load
@@ -34,7 +34,7 @@
 // testPace is the pace of engines that prefill 5 tokens per ms.
 var testPace = pace.Pace{EventInterval: 29 * time.Millisecond, PrefillRatio: 1.0 / (5 * 29), Prompt: 5000, LoadedInterval: 33 * time.Millisecond, UsualAnswer: 0.7}
 
-// Under overload a stream that no engine can start within its objective gets RankLast, and
+// Under overload a stream that no engine can start within its objective gets RankLow, and
 // its prefill does not count against calls that can still be in time.
 func TestLateStreamsYield(t *testing.T) {
 	tests := []struct {
--- a/instance/crashes.go
+++ b/instance/crashes.go
@@ -25,7 +25,7 @@
 	cleanup := time.NewTicker(crashCleanupInterval)
 	defer cleanup.Stop()
 	for ctx.Err() == nil {
-		edits, more := i.crashes.TakeEdits()
+		edits, more := i.poisonTracker.TakeEdits()
 		if n := batchSize(edits); n > 0 {
 			i.writeCrashEdits(ctx, edits, n)
 			continue
@@ -33,7 +33,7 @@
 		select {
 		case <-more:
 		case <-cleanup.C:
-			i.crashes.Expire(clock.Now())
+			i.poisonTracker.Expire(clock.Now())
 		case <-ctx.Done():
 		}
 	}
@@ -57,11 +57,11 @@
 	defer cancel()
 	err := platform.CrashWriter{Store: i.store}.Apply(writeCtx, edits[:n])
 	if err == nil {
-		i.crashes.RequeueEdits(edits[n:])
+		i.poisonTracker.RequeueEdits(edits[n:])
 		return
 	}
 	i.log.Warn().Err(err).Int("edits", n).Msg("instance: crash records not written; will retry")
-	i.crashes.RequeueEdits(edits)
+	i.poisonTracker.RequeueEdits(edits)
 	clock.Sleep(ctx, crashRetryDelay)
 }
 
@@ -75,5 +75,5 @@
 		i.log.Info().Stringer("fingerprint", probe.Fingerprint).Int("trial", probe.Count).AnErr("cause", err).Msg("instance: probe not claimed")
 		return false
 	}
-	return i.crashes.Claim(probe, row, clock.Now())
+	return i.poisonTracker.ClaimProbe(probe, row, clock.Now())
 }
--- a/instance/follow.go
+++ b/instance/follow.go
@@ -87,20 +87,20 @@
 	storeReader := func(table string) relay.StoreReader {
 		return relay.StoreReader{Store: i.store, Cache: i.relay.Tables[table]}
 	}
-	newAsker := func(table string, needsAge bool) *relay.PeerReader {
+	newReader := func(table string, needsAge bool) *relay.PeerReader {
 		return &relay.PeerReader{Table: table, WantsAsOf: needsAge, Selector: peerSelector, Cache: i.relay.Tables[table], Dial: dialTable, Log: i.log}
 	}
 
-	operatorReader := newAsker(platform.TableOperator, true)
+	operatorReader := newReader(platform.TableOperator, true)
 	operatorReader.Locations = &i.locations
 	p.Go((&discovery.Follower[discovery.OperatorRow]{Name: platform.TableOperator, Log: i.log,
 		Source:  platform.OperatorTable{Reader: storeReader(platform.TableOperator), Unreadable: i.unreadable},
 		Relay:   relayedTable[discovery.OperatorRow]{platform.OperatorTable{Reader: operatorReader, Unreadable: i.unreadable}, operatorReader},
-		Sink:    discovery.OperatorSink{Desired: i.desired, Rollouts: &i.rollouts, Log: i.log},
+		Sink:    discovery.OperatorSink{DesiredState: i.desiredState, Rollouts: &i.rollouts, Log: i.log},
 		MaxWait: i.desiredWait(), RereadInterval: desiredRereadInterval, Recovery: &i.recovery, MaxBackoff: peerSelector.Backoff}).Run)
 
-	targetReader := newAsker(platform.TableTargets, false)
-	targetSink := discovery.NewTargetSink(&i.targets, i.desired, i.log, func() { i.targetsRead.Store(true) })
+	targetReader := newReader(platform.TableTargets, false)
+	targetSink := discovery.NewTargetSink(&i.targets, i.desiredState, i.log, func() { i.targetsRead.Store(true) })
 	targetSink.Rollouts = &i.rollouts
 	p.Go((&discovery.Follower[discovery.TargetRow]{Name: platform.TableTargets, Log: i.log,
 		Source:  platform.TargetTable{Reader: storeReader(platform.TableTargets), Unreadable: i.unreadable},
@@ -108,11 +108,11 @@
 		Sink:    targetSink,
 		MaxWait: targetWait, MinInterval: targetPollInterval, RereadInterval: targetRereadInterval, Recovery: &i.recovery, AwaitsRecovery: true, MaxBackoff: peerSelector.Backoff}).Run)
 
-	instanceReader := newAsker(platform.TableInstances, false)
+	instanceReader := newReader(platform.TableInstances, false)
 	p.Go((&discovery.Follower[discovery.InstanceRow]{Name: platform.TableInstances, Log: i.log,
 		Source:  platform.InstanceTable{Reader: storeReader(platform.TableInstances), Unreadable: i.unreadable},
 		Relay:   relayedTable[discovery.InstanceRow]{platform.InstanceTable{Reader: instanceReader, Unreadable: i.unreadable}, instanceReader},
-		Sink:    discovery.InstanceSink{Exchange: i.peers, Crashes: &i.crashes, Rollouts: &i.rollouts, OnRead: func() { i.instancesRead.Store(true) }},
+		Sink:    discovery.InstanceSink{Exchange: i.peers, PoisonTracker: &i.poisonTracker, Rollouts: &i.rollouts, OnRead: func() { i.instancesRead.Store(true) }},
 		MaxWait: peerWait, MinInterval: peerPollInterval, Recovery: &i.recovery, AwaitsRecovery: true, MaxBackoff: peerSelector.Backoff}).Run)
 }
 
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -74,19 +74,19 @@
 	s              platform.Settings
 	log            zerolog.Logger
 	store          *platform.Store
-	desired        *desired.Tracker
+	desiredState   *desired.Tracker
 	targets        registry.Registry
 	cacheLocations cachelocation.Table
 	handler        *ingress.Handler
 	peers          *exchange.Exchange
-	frontServer    *http.Server
+	callServer     *http.Server
 	metrics        http.Handler
 	unreadable     *platform.UnreadableRows
 	recovery       discovery.RecoverySignal
 	relay          *relay.Server
 	budget         *budget.Budget
 	locations      locationBuffer
-	crashes        poison.Tracker
+	poisonTracker  poison.Tracker
 	rollouts       rollout.Tracker
 	startedAt      clock.Time
 	bodyMemory     *admit.Memory
@@ -102,19 +102,19 @@
 	}
 	bounds := s.Bounds()
 	i := &Instance{startedAt: clock.Now(), s: s, log: log, store: platform.NewStore(s.Store()), metrics: metrics, unreadable: platform.NewUnreadableRows(log, scope),
-		desired: desired.NewTracker(desired.Ages{Reject: scale(denyAgeFraction, bounds.Config), Key: scale(keyAgeFraction, bounds.Revoke)})}
+		desiredState: desired.NewTracker(desired.Ages{Reject: scale(denyAgeFraction, bounds.Config), Key: scale(keyAgeFraction, bounds.Revoke)})}
 	i.bodyMemory = admit.NewMemory(int64(bodyFraction * float64(s.Memory())))
-	i.crashes.Log, i.crashes.Scope = log, scope
+	i.poisonTracker.Log, i.poisonTracker.Scope = log, scope
 	i.rollouts.Log, i.rollouts.Share = log, bounds.CanaryShare
 	i.rollouts.Slack, i.rollouts.Instances = bounds.CanarySlack, i.instanceCount
 	i.rollouts.Self = rollout.Writer{Node: s.Node(), Started: time.Now().UnixMilli()}
-	i.peers = exchange.New(s.Node(), s.Zone(), &i.targets, &i.cacheLocations, &i.crashes, log)
+	i.peers = exchange.New(s.Node(), s.Zone(), &i.targets, &i.cacheLocations, &i.poisonTracker, log)
 	i.locations.cacheLocations = &i.cacheLocations
 	i.relay = &relay.Server{Tables: i.caches(), Draining: i.isDraining, SaveLocations: i.locations.addFromPeer, Log: log}
 	i.budget = budget.New(budget.Limit{Ratio: bounds.BudgetRatio, Extra: bounds.BudgetExtra, Window: bounds.BudgetWindow}, i.peers.InstanceCount)
 	borrower := &lend.Borrower{Zone: s.Zone(), Peers: i.peers.Peers, Budget: i.budget, Log: log}
-	i.handler = ingress.New(ingress.Config{Zone: s.Zone(), DesiredState: i.desired, Targets: &i.targets, CacheLocations: &i.cacheLocations, RetryBudget: i.budget, BorrowRetries: borrower.Borrow,
-		Sender: platform.Sender{}, Ready: i.Ready, NotifyPeers: i.peers.SendNow, PoisonTracker: &i.crashes, Rollouts: &i.rollouts, ClaimProbe: i.claimProbe, Log: log, Scope: scope})
+	i.handler = ingress.New(ingress.Config{Zone: s.Zone(), DesiredState: i.desiredState, Targets: &i.targets, CacheLocations: &i.cacheLocations, RetryBudget: i.budget, BorrowRetries: borrower.Borrow,
+		Sender: platform.Sender{}, Ready: i.Ready, NotifyPeers: i.peers.SendNow, PoisonTracker: &i.poisonTracker, Rollouts: &i.rollouts, ClaimProbe: i.claimProbe, Log: log, Scope: scope})
 	return i
 }
 
@@ -124,20 +124,20 @@
 
 // Ready reports whether the load balancer should send calls to this instance.
 func (i *Instance) Ready() bool {
-	age, ok := i.desired.Age(clock.Now())
+	age, ok := i.desiredState.Age(clock.Now())
 	return ok && age <= scale(readyAgeFraction, i.s.Bounds().Revoke) && i.targetsRead.Load() && i.instancesRead.Load() && !i.handler.Draining()
 }
 
 // Run serves until ctx ends, then drains: it returns when the calls in progress
 // have ended or the grace period is nearly over.
 func (i *Instance) Run(ctx context.Context) error {
-	front, err := listen("front", i.s.CallerAddr())
+	callHandler, err := listen("front", i.s.CallerAddr())
 	if err != nil {
 		return err
 	}
 	ready, err := listen("ready", i.s.ReadinessAddr())
 	if err != nil {
-		front.Close()
+		callHandler.Close()
 		return err
 	}
 	lifetime, stop := context.WithCancel(context.Background())
@@ -147,7 +147,7 @@
 	p.Go(i.persistLocations)
 	p.Go(i.persistCrashes)
 	p.Go(i.runRollouts)
-	i.frontServer = i.serve(p, front, &platform.CallHandler{Handler: i.handler, Limits: i.limits, Memory: i.bodyMemory, Log: i.log})
+	i.callServer = i.serve(p, callHandler, &platform.CallHandler{Handler: i.handler, Limits: i.limits, Memory: i.bodyMemory, Log: i.log})
 	i.serve(p, ready, platform.Ready(i.Ready))
 	i.serveInternal(p)
 	p.Go(func(lifetime context.Context) error {
@@ -176,7 +176,7 @@
 }
 
 func (i *Instance) limits() ragworthitch.Limits {
-	if d := i.desired.State(); d != nil {
+	if d := i.desiredState.State(); d != nil {
 		return d.Limits()
 	}
 	return ragworthitch.Limits{}
@@ -251,6 +251,6 @@
 	// when their call ends.
 	ctx, cancel := context.WithTimeout(lifetime, grace-drainMargin-drainAcceptPeriod)
 	defer cancel()
-	err := i.frontServer.Shutdown(ctx)
+	err := i.callServer.Shutdown(ctx)
 	i.log.Info().Int("active", i.handler.Active()).Dur("after", clock.Now().Sub(start)).AnErr("cut", err).Msg("instance: drain ended")
 }
--- a/lend/lend_test.go
+++ b/lend/lend_test.go
@@ -54,7 +54,7 @@
 }
 
 // Guards against a round of requests for each stream that needs a retry.
-func TestBorrowTogether(t *testing.T) {
+func TestConcurrentBorrow(t *testing.T) {
 	own, lenderBudget := budget.New(budget.Limit{Window: limit.Window}, nil), budget.New(limit, nil)
 	far := peer(t, "far", "b", lenderBudget)
 	b := &Borrower{Zone: "a", Peers: func() []exchange.Peer { return []exchange.Peer{far} }, Budget: own, Log: zerolog.Nop()}
--- a/logs/history.go
+++ b/logs/history.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// stateLookBack is how long before a request's first line Story includes changes of
+// stateLookBack is how long before a request's first line RequestHistory includes changes of
 // process state.
 const stateLookBack = 10 * time.Second
 
 // statePrefixes are the message prefixes of lines that report a change of process
-// state. Story includes those of the request's processes and targets.
+// state. RequestHistory includes those of the request's processes and targets.
 var statePrefixes = []string{"health:", "discovery:", "desired:", "instance:"}
 
-// crashPrefix is the message prefix of lines on poison requests. Story includes all
+// crashPrefix is the message prefix of lines on poison requests. RequestHistory includes all
 // lines with the request's fingerprint, at any time and of any process.
 const crashPrefix = "poison:"
 
--- a/loopback/link.go
+++ b/loopback/link.go
@@ -64,7 +64,7 @@
 	l.resetAll()
 }
 
-// SetFault injects a fault until Calm is called. Only a Delay fault uses delay.
+// SetFault injects a fault until ClearFault is called. Only a Delay fault uses delay.
 func (l *Link) SetFault(fault string, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pace/service.go
+++ b/pace/service.go
@@ -52,7 +52,7 @@
 }
 
 // EventInterval returns the usual event interval without other prefills at the engine; 0 if
-// unknown. It equals Pace().Gap and is cheaper.
+// unknown. It equals Pace().EventInterval and is cheaper.
 func (s *Service) EventInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/poison/bystanders_test.go
+++ b/poison/bystanders_test.go
@@ -269,7 +269,7 @@
 }
 
 // Outages of a zone or a service are distinguished from the loss of single targets.
-func TestTogether(t *testing.T) {
+func TestOutage(t *testing.T) {
 	for lost := range Neighbours + 1 {
 		assert.Equal(t, lost >= outageThreshold, LossObservation{Zone: NeighbourCheck{Asked: Neighbours, Lost: lost}}.InOutage(), lost)
 	}
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -4,7 +4,7 @@
 // every instance.
 //
 // Instances report to their peers, and write to the store, which requests a target had
-// just started to run when it crashed (Death). A request under which three targets have
+// just started to run when it crashed (Crash). A request under which three targets have
 // crashed, and that has not succeeded since, is quarantined: all instances reject it at
 // once. The state of a request depends on how soon after the start of the attempt the
 // target crashed, whether others of its zone or service were lost with it, which other
--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -423,9 +423,9 @@
 	return out
 }
 
-// Claim takes a probe for this instance. It returns false if another probe has been
-// made since the verdict. After a claim no probe is due until the longer delay is over.
-func (t *Tracker) Claim(p Probe, row int64, now clock.Time) bool {
+// ClaimProbe takes a probe for this instance. It returns false if another probe has been
+// made since the status was read. After a claim no probe is due until the longer delay is over.
+func (t *Tracker) ClaimProbe(p Probe, row int64, now clock.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[p.Fingerprint]
--- a/poison/tracker_test.go
+++ b/poison/tracker_test.go
@@ -33,7 +33,7 @@
 	return c
 }
 
-func TestBook(t *testing.T) {
+func TestTracker(t *testing.T) {
 	type testCase struct {
 		Name  string
 		Steps []string
@@ -98,7 +98,7 @@
 	case "probed":
 		tracker.ApplyRows([]Row{{RowKey: RowKey{Fingerprint: fingerprintOf(args[0])}, Probes: n(), Version: 7}}, now)
 	case "claimed", "unclaimed":
-		assert.Equal(t, verb == "claimed", tracker.Claim(Probe{Fingerprint: fingerprintOf(args[0]), Count: n()}, 7, now), text)
+		assert.Equal(t, verb == "claimed", tracker.ClaimProbe(Probe{Fingerprint: fingerprintOf(args[0]), Count: n()}, 7, now), text)
 	case "expire":
 		tracker.Expire(now)
 	case "untracked":
@@ -210,7 +210,7 @@
 }
 
 // Each change of a request's state is logged with its cause and counted.
-func TestVerdictsAreLogged(t *testing.T) {
+func TestStatusChangesAreLogged(t *testing.T) {
 	var log bytes.Buffer
 	scope := tally.NewTestScope("", nil)
 	tracker := Tracker{Log: zerolog.New(&log), Scope: scope}
@@ -220,7 +220,7 @@
 	assert.Equal(t, minCrashThreshold, strings.Count(log.String(), "poison: target crashed as it began a request"))
 	assert.Contains(t, log.String(), `"targets":["t0","t1","t2"]`)
 	assert.Equal(t, 1, strings.Count(log.String(), "poison: request quarantined"))
-	require.True(t, tracker.Claim(tracker.Status(fingerprintOf("a"), 2).Probe, 9, 2))
+	require.True(t, tracker.ClaimProbe(tracker.Status(fingerprintOf("a"), 2).Probe, 9, 2))
 	assert.Contains(t, log.String(), "poison: quarantined request is probed once")
 	tracker.RecordSuccess(fingerprintOf("a"), 3)
 	assert.Contains(t, log.String(), `"cause":"ran well"`)
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -126,7 +126,7 @@
 }
 
 // Guards against rejecting the next boot under the id of an ended one.
-func TestRefusedEndsOneBoot(t *testing.T) {
+func TestMismatchEndsOneBoot(t *testing.T) {
 	var r Registry
 	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
 	r.EndMismatched(ragworthitch.NewBoot("a", 100), now)
--- a/registry/work.go
+++ b/registry/work.go
@@ -7,7 +7,7 @@
 type (
 	// Load is the outstanding work at a target.
 	Load struct {
-		Prefill         int // prompt tokens of calls without a first event, except those in Later
+		Prefill         int // prompt tokens of calls without a first event, except those in YieldingPrefill
 		YieldingPrefill int // prompt tokens of calls without a first event whose prefill yields to others
 		Running         int // calls in progress
 		Tokens          int // memory of calls and replicas, in tokens
--- a/relay/peer_reader_test.go
+++ b/relay/peer_reader_test.go
@@ -29,7 +29,7 @@
 // peers again.
 func TestLargeRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cache, r := newCacheAndAsker()
+		cache, r := newCacheAndReader()
 		row := func(version int64, size int) platform.StoredRow {
 			return platform.StoredRow{RowID: platform.RowID{Table: table, Key: "state"}, Version: version, Value: bytes.Repeat([]byte("x"), size)}
 		}
@@ -46,12 +46,12 @@
 		assert.False(t, r.ShouldAsk(), "the next read goes to the store")
 		assert.True(t, r.ShouldAsk(), "the read after that asks a peer")
 		_, err = r.Changes(t.Context(), table, 2, time.Second)
-		assert.NoError(t, err, "the asker goes on asking after the read from the store")
+		assert.NoError(t, err, "the reader goes on asking after the read from the store")
 	})
 }
 
-// newCacheAndAsker returns the cache of an instance and an asker that asks it.
-func newCacheAndAsker() (*Cache, *PeerReader) {
+// newCacheAndReader returns the cache of an instance and a reader that asks it.
+func newCacheAndReader() (*Cache, *PeerReader) {
 	cache := NewCache(sameRow, time.Minute)
 	server := &Server{Tables: map[string]*Cache{table: cache}, Draining: func() bool { return false }, Log: zerolog.Nop()}
 	r := &PeerReader{Table: table, Selector: NewPeerSelector("me", "z", func() []exchange.Peer { return []exchange.Peer{{Node: nameRankedBefore("me", "z"), Zone: "z"}} }),
@@ -75,7 +75,7 @@
 // an outage stay valid for two seconds after its end, also at asking instances.
 func TestStoreOutageIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cache, r := newCacheAndAsker()
+		cache, r := newCacheAndReader()
 		cache.Replace(nil, 1, clock.Now())
 		p, err := r.ReadAll(t.Context(), platform.Range{})
 		assert.NoError(t, err)
--- a/relay/peer_selector.go
+++ b/relay/peer_selector.go
@@ -30,7 +30,7 @@
 )
 
 type (
-	// PeerSelector selects the peer of the zone to ask. Create it with NewChoice.
+	// PeerSelector selects the peer of the zone to ask. Create it with NewPeerSelector.
 	PeerSelector struct {
 		node, zone string
 		peers      func() []exchange.Peer
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -471,17 +471,17 @@
 
 func (s source) Read(ctx context.Context) (discovery.ReadResult[platform.StoredRow], error) {
 	p, err := s.reader.ReadAll(ctx, platform.Range{Table: table})
-	return toReading(p), err
+	return toReadResult(p), err
 }
 
 func (s source) Changes(ctx context.Context, after int64, wait time.Duration) (discovery.ReadResult[platform.StoredRow], error) {
 	p, err := s.reader.Changes(ctx, table, after, wait)
-	return toReading(p), err
+	return toReadResult(p), err
 }
 
 func (s source) CloseIdleConnections() { s.reader.CloseIdleConnections() }
 
-func toReading(p platform.Page) discovery.ReadResult[platform.StoredRow] {
+func toReadResult(p platform.Page) discovery.ReadResult[platform.StoredRow] {
 	return discovery.ReadResult[platform.StoredRow]{Rows: p.Rows, Version: p.Version, Relayed: p.Relayed, AsOf: p.AsOf, UnavailableAt: p.UnavailableAt}
 }
 
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -121,9 +121,9 @@
 				tracker.Order(order(5), 0)
 				return tracker
 			}
-			books := make([]*Tracker, n)
-			for i := range books {
-				books[i] = start()
+			trackers := make([]*Tracker, n)
+			for i := range trackers {
+				trackers[i] = start()
 			}
 			canaries, rare := 0, 0
 			for c := range calls {
@@ -132,18 +132,18 @@
 					route = "rare"
 				}
 				if c == calls/2 {
-					for i := range books {
-						books[i] = start()
-						books[i].services[svc].budget.extraCalls = 0 // a restarted instance gets no slack
+					for i := range trackers {
+						trackers[i] = start()
+						trackers[i].services[svc].budget.extraCalls = 0 // a restarted instance gets no slack
 					}
 				}
 				if c%50 == 0 {
 					tallies := map[Writer]Tally{{}: {Group{Route: "often"}: {Seen: 16 * (c + 1)}, Group{Route: "rare"}: {Seen: c + 1}}}
-					for _, tracker := range books {
+					for _, tracker := range trackers {
 						tracker.services[svc].budget.updateUsage(tallies)
 					}
 				}
-				if books[i].AssignRole(svc, route).canary {
+				if trackers[i].AssignRole(svc, route).canary {
 					canaries++
 					if route == "rare" {
 						rare++
--- a/route/engine.go
+++ b/route/engine.go
@@ -50,13 +50,13 @@
 
 // EngineCandidate holds what the instance knows of one model engine.
 type EngineCandidate struct {
-	Takes           bool
+	AcceptsCalls    bool
 	Backlog         float64 // outstanding prefill work, in prefills
 	Running         int     // running streams
 	Slowdown        float64 // event interval relative to the usual one; 0: unknown
 	Answer          float64 // generation time of the answer at a usual engine, in prefills
 	Memory          float64 // share of the engine's memory that streams and replicas take
-	Errors          float64 // share of recent calls that failed, 0 to 1
+	ErrorRate       float64 // share of recent calls that failed, 0 to 1
 	SameZone        bool
 	Loss            float64 // confidence that the link to its zone loses packets, 0 to 1
 	ZoneOutage      float64 // share of the zone's engines that were lost recently
@@ -73,7 +73,7 @@
 type Engines struct{}
 
 // Usable reports whether the engine accepts the call.
-func (Engines) Usable(c EngineCandidate) bool { return c.Takes && !c.Excluded }
+func (Engines) Usable(c EngineCandidate) bool { return c.AcceptsCalls && !c.Excluded }
 
 // Score returns the expected delay in prefills; lower is better.
 func (Engines) Score(c EngineCandidate, _ uint64) float64 {
@@ -82,7 +82,7 @@
 		slowdown = 1
 	}
 	s := slowdown*c.Backlog + (slowdown-1)*(1+answerWeight*c.Answer) + runningStreamCost*float64(c.Running) +
-		memoryCost*max(0, c.Memory-memoryFreeShare) + jitterWeight*c.Jitter + errorCost*c.Errors +
+		memoryCost*max(0, c.Memory-memoryFreeShare) + jitterWeight*c.Jitter + errorCost*c.ErrorRate +
 		zoneOutageCost*c.ZoneOutage + packetLossCost*c.Loss
 	if c.MissesObjective {
 		s += missedObjectiveCost
--- a/route/engine_test.go
+++ b/route/engine_test.go
@@ -101,7 +101,7 @@
 				running++
 			}
 		}
-		cands[i] = EngineCandidate{Takes: true, Backlog: r.queue(at, i, known) / float64(r.Prompt), Running: running, Preference: affinities[i], Jitter: r.rng.Float64()}
+		cands[i] = EngineCandidate{AcceptsCalls: true, Backlog: r.queue(at, i, known) / float64(r.Prompt), Running: running, Preference: affinities[i], Jitter: r.rng.Float64()}
 		if i < r.Troubled {
 			cands[i].ZoneOutage = 1
 		}
@@ -136,7 +136,7 @@
 
 // Guards against a preferred target that changes when an unrelated engine
 // leaves, and against an uneven spread of calls over the engines.
-func TestHomes(t *testing.T) {
+func TestPreferenceWeights(t *testing.T) {
 	addrs := []string{"a", "b", "c", "d", "e", "f"}
 	count := map[int]int{}
 	for i := range 600 {
@@ -173,7 +173,7 @@
 			for b.Loop() {
 				affinities := PreferenceWeights("5c1e07a2", addrs)
 				for i := range cands {
-					cands[i] = EngineCandidate{Takes: true, Backlog: float64(i), Preference: affinities[i]}
+					cands[i] = EngineCandidate{AcceptsCalls: true, Backlog: float64(i), Preference: affinities[i]}
 				}
 				Pick(cands, Engines{}, 0)
 			}
--- a/route/plain.go
+++ b/route/plain.go
@@ -18,15 +18,15 @@
 
 // PlainCandidate holds what the instance knows of one target of a plain service.
 type PlainCandidate struct {
-	Takes     bool
-	LatencyMs float64 // usual response time; 0: unknown
-	Errors    float64 // share of recent calls that failed
-	Running   int     // calls of this instance in progress
-	Slots     int     // calls that the target runs concurrently
-	SameZone  bool
-	Cold      bool    // reports that it is still slow after its start
-	Loss      float64 // confidence that the link to its zone loses packets, 0 to 1
-	Jitter    float64 // in [0, 1), breaks ties
+	AcceptsCalls bool
+	LatencyMs    float64 // usual response time; 0: unknown
+	ErrorRate    float64 // share of recent calls that failed
+	Running      int     // calls of this instance in progress
+	Slots        int     // calls that the target runs concurrently
+	SameZone     bool
+	Cold         bool    // reports that it is still slow after its start
+	Loss         float64 // confidence that the link to its zone loses packets, 0 to 1
+	Jitter       float64 // in [0, 1), breaks ties
 }
 
 // Plain is the policy for plain services: the lowest expected response time,
@@ -34,7 +34,7 @@
 type Plain struct{}
 
 // Usable reports whether the target accepts calls.
-func (Plain) Usable(c PlainCandidate) bool { return c.Takes }
+func (Plain) Usable(c PlainCandidate) bool { return c.AcceptsCalls }
 
 // Score returns the expected response time in ms; lower is better.
 func (Plain) Score(c PlainCandidate, _ uint64) float64 {
@@ -43,7 +43,7 @@
 		lat = defaultLatencyMs
 	}
 	queue := float64(c.Running) / float64(max(c.Slots, 1))
-	s := lat*(1+queue) + errorCostMs*c.Errors + 5*float64(c.Running) + lat*0.3*c.Jitter
+	s := lat*(1+queue) + errorCostMs*c.ErrorRate + 5*float64(c.Running) + lat*0.3*c.Jitter
 	if c.Cold {
 		s += coldStartShare * lat
 	}
--- a/route/zones_test.go
+++ b/route/zones_test.go
@@ -25,10 +25,10 @@
 		{"link loses packets, local zone outage", EngineCandidate{ZoneOutage: 1}, EngineCandidate{Loss: 1}, false},
 	}
 	for _, tt := range tests {
-		tt.local.Takes, tt.remote.Takes, tt.local.SameZone = true, true, true
+		tt.local.AcceptsCalls, tt.remote.AcceptsCalls, tt.local.SameZone = true, true, true
 		assert.Equal(t, tt.stays, Pick([]EngineCandidate{tt.local, tt.remote}, Engines{}, 0) == 0, tt.name)
 	}
-	calls := []PlainCandidate{{Takes: true, SameZone: true, LatencyMs: 40, Running: 2, Slots: 6}, {Takes: true, LatencyMs: 40, Slots: 6}}
+	calls := []PlainCandidate{{AcceptsCalls: true, SameZone: true, LatencyMs: 40, Running: 2, Slots: 6}, {AcceptsCalls: true, LatencyMs: 40, Slots: 6}}
 	assert.Equal(t, 1, Pick(calls, Plain{}, 0))
 	calls[1].Loss = 1
 	assert.Equal(t, 0, Pick(calls, Plain{}, 0))
--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -28,7 +28,7 @@
     "no end in time": ("FINAL", "ingress/handler.go", "	ctx, cancel := context.WithTimeout(ctx, limit)", "	ctx, cancel := context.WithTimeout(ctx, limit+time.Minute)"),
     "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashWriter{Store: i.store}.Apply(writeCtx, edits[:n])", "	err := writeCtx.Err()"),
     "a bystander is condemned": ("BYSTANDER", "poison/tracker.go", "		quarantine := !t.DryRun && attributed >= threshold && t.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)", "		quarantine := attributed > 0"),
-    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.lost != nil {\n		close(s.lost)\n		s.lost = nil\n	}\n", "	panic(s)\n"),
+    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.nextFailure != nil {\n		close(s.nextFailure)\n		s.nextFailure = nil\n	}\n", "	panic(s)\n"),
 }
 
 
--- a/service/service.go
+++ b/service/service.go
@@ -7,7 +7,7 @@
 //	POST /v1/{op}        body Call; 200 Result
 //	GET  /debug/counts   200 map of idempotency key to times run (quote, charge)
 //
-// Quote and charge are non-repeatable. The stand-in counts the runs of each
+// Quote and charge are non-idempotent. The stand-in counts the runs of each
 // idempotency key, so that a test can check that a call ran at most once.
 package service
 
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -133,7 +133,7 @@
 	if call.Poison {
 		body = poisonBody
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.exec.frontAddrOf(c.entryIndex)+call.Path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.exec.callerAddrOf(c.entryIndex)+call.Path, strings.NewReader(body))
 	if err != nil {
 		panic(err) // all parts of the request are constants or generated
 	}
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -67,11 +67,11 @@
 	retryBudgetWindow = 10 * time.Second
 )
 
-// bootSettings returns an instance's settings. The instance reaches the store through its
+// settings returns an instance's settings. The instance reaches the store through its
 // link, and gets rows from it with addresses of links in place of those of targets and
 // peers.
-func (e *entry) bootSettings(n int) platform.Settings {
-	return platform.NewSettings(platform.SettingsParams{Node: e.name, Zone: zoneOf(n), CallerAddr: e.frontAddr, ReadinessAddr: e.readyAddr, Internal: e.internalAddr,
+func (e *entry) settings(n int) platform.Settings {
+	return platform.NewSettings(platform.SettingsParams{Node: e.name, Zone: zoneOf(n), CallerAddr: e.callerAddr, ReadinessAddr: e.readyAddr, Internal: e.internalAddr,
 		Store: entryLinkHost(n) + portSuffix(e.storeAddr), Memory: memoryLimitMB << 20,
 		Bounds: platform.Bounds{Config: configDelay, Revoke: revokeDelay, Grace: gracePeriod, BudgetRatio: retryBudgetRatio, BudgetWindow: retryBudgetWindow, BudgetExtra: retryBudgetExtra}})
 }
--- a/soak/nodes.go
+++ b/soak/nodes.go
@@ -23,10 +23,10 @@
 	// entry is the node of an entry instance.
 	entry struct {
 		node
-		name                                          string
-		frontAddr, readyAddr, internalAddr, storeAddr string // storeAddr: the store's address for this instance
-		settingsFile                                  string
-		bootCount                                     int // guarded by mu
+		name                                           string
+		callerAddr, readyAddr, internalAddr, storeAddr string // storeAddr: the store's address for this instance
+		settingsFile                                   string
+		bootCount                                      int // guarded by mu
 	}
 
 	// target is the node of a target. Its processes differ in id or address.
@@ -58,9 +58,9 @@
 		ports[i] = port
 	}
 	addr := func(i int) string { return fmt.Sprintf("%s:%d", processHost, ports[i]) }
-	e := &entry{name: fmt.Sprint(nodeEntry, n), frontAddr: addr(0), readyAddr: addr(1), internalAddr: addr(2), storeAddr: addr(3)}
+	e := &entry{name: fmt.Sprint(nodeEntry, n), callerAddr: addr(0), readyAddr: addr(1), internalAddr: addr(2), storeAddr: addr(3)}
 	e.settingsFile = filepath.Join(x.dir, e.name+".toml")
-	b, err := e.bootSettings(n).Encode()
+	b, err := e.settings(n).Encode()
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 	e.proc = proc
 	e.bootCount++
 	e.mu.Unlock()
-	if err := x.links.open(nodeCallers, e.name, callerLinkHost+portSuffix(e.frontAddr), e.frontAddr); err != nil {
+	if err := x.links.open(nodeCallers, e.name, callerLinkHost+portSuffix(e.callerAddr), e.callerAddr); err != nil {
 		return err
 	}
 	for n, other := range x.zoneFirsts() {
@@ -161,7 +161,7 @@
 // portSuffix returns ":PORT" of an address at processHost.
 func portSuffix(addr string) string { return addr[len(processHost):] }
 
-// frontAddrOf returns the address at which callers reach an instance.
-func (x *execution) frontAddrOf(n int) string {
-	return callerLinkHost + portSuffix(x.entries[n].frontAddr)
+// callerAddrOf returns the address at which callers reach an instance.
+func (x *execution) callerAddrOf(n int) string {
+	return callerLinkHost + portSuffix(x.entries[n].callerAddr)
 }
