--- a/admit/admit.go
+++ b/admit/admit.go
@@ -18,8 +18,8 @@
 	Prompt         int           // prompt tokens without a cached prefix
 	Backlog        int           // prompt tokens of other streams that wait at the engine
 	MaxTokens      int           // maximum number of tokens to generate
-	TokensPerEvent int           // tokens per event
-	ResumeOffset   int64         // resume offset
+	TokensPerEvent int
+	ResumeOffset   int64 // id of the last event that the caller has
 }
 
 // MaxEvents returns the maximum number of events in the answer; 0 if unknown.
--- a/cachelocation/table.go
+++ b/cachelocation/table.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Find returns the engine that was last known to cache a prompt, and whether one
+// Find returns the engine that was last known to cache a prompt, and whether
 // such an engine is known.
 func (t *Table) Find(subject string, now clock.Time) (ragworthitch.Boot, bool) {
 	t.mu.Lock()
--- a/desired.go
+++ b/desired.go
@@ -69,11 +69,11 @@
 
 	// Engine describes the model engines of a service.
 	Engine struct {
-		Slots          int           // maximum number of requests in a batch
-		KVTokens       int           // KV cache capacity, in tokens
-		CanMigrate     bool          // can migrate a stream's KV cache to another engine on request
-		CanReplicate   bool          // can keep a replica of a stream's KV cache at another engine
-		TokensPerEvent int           // tokens per event
+		Slots          int  // maximum number of requests in a batch
+		KVTokens       int  // KV cache capacity, in tokens
+		CanMigrate     bool // can migrate a stream's KV cache to another engine on request
+		CanReplicate   bool // can keep a replica of a stream's KV cache at another engine
+		TokensPerEvent int
 		ReplicaExpiry  time.Duration // time after which an unused replica is deleted
 	}
 
--- a/ingress/active_call.go
+++ b/ingress/active_call.go
@@ -147,7 +147,7 @@
 	return objective > 0 && expected > objective-now.Sub(c.call.Received)
 }
 
-// pace returns the speeds of the call's service, as learned or as fixed by Config.FixedPace.
+// pace returns the pace of the call's service, as measured or as fixed by Config.FixedPace.
 func (c *activeCall) pace() pace.Pace {
 	if c.h.fixedPace != nil {
 		return *c.h.fixedPace
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -51,7 +51,7 @@
 		targetLost       bool // the target was found lost, and nothing has been received since
 		overBudgetLogged bool // the exhausted retry budget has been logged
 		decodeIntervals  decodeIntervals
-		paceRecorded     bool // the speed of the target's version has been recorded
+		paceRecorded     bool // the pace of the target's version has been recorded
 		failureRecorded  bool // a failure of the target's version has been recorded
 	}
 
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -31,7 +31,7 @@
 		Timeout      time.Duration // how long the caller waits; 0: unknown
 		Header       http.Header   // passed on to the target
 		Body         []byte
-		ResumeOffset string // resume offset: id of the last event that the caller has
+		ResumeOffset string // id of the last event that the caller has
 		Prompt       int    // tokens in the prompt
 		MaxTokens    int    // maximum number of tokens to generate
 		Subject      string // last part of the prompt, which differs between calls or sessions
@@ -45,7 +45,7 @@
 		Member         *registry.Member
 		Org            string
 		Remaining      time.Duration // remaining time until the call's deadline
-		ResumeOffset   string        // resume offset
+		ResumeOffset   string        // id of the last event that the caller has
 		ReplicaAddress string        // address of the replica target to resume from; empty: none
 		ReplicateTo    string        // address of the engine that shall hold a replica of this attempt's KV cache; empty: none
 		Rank           Rank          // priority at a busy engine
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -80,12 +80,12 @@
 		RetryBudget    *budget.Budget
 		Sender         Sender
 		Engines        EnginePolicy  // nil: route.Engines
-		FixedPace      *pace.Pace    // fixed engine speeds, for comparisons; nil: speeds are learned
+		FixedPace      *pace.Pace    // fixed pace of all services, for comparisons; nil: the measured pace
 		TargetWait     time.Duration // how long an interrupted stream waits for an available target
 		Ready          func() bool   // reports whether this instance serves calls well; nil: always
 		NotifyPeers    func()        // sends this instance's load and reports to its peers; nil: no peers
-		// BorrowRetries requests retries of a service from peers for the retry budget and returns
-		// when the requests have completed; nil: no peers.
+		// BorrowRetries requests retries of a service from peers for the retry budget and
+		// returns when the requests have completed; nil: no peers.
 		BorrowRetries func(ctx context.Context, service string)
 		// PoisonTracker tracks poison requests; nil: a tracker of this handler's own.
 		PoisonTracker *poison.Tracker
--- a/ingress/replica_test.go
+++ b/ingress/replica_test.go
@@ -37,8 +37,8 @@
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// CheckConnection succeeds, so that no target is ejected and the stream does not fail over once
-// more.
+// CheckConnection succeeds, so that no target is ejected and the stream does not fail over
+// once more.
 func (*replicaSender) CheckConnection(context.Context, *registry.Member) error { return nil }
 
 // A stream resumes from a replica only at a target of its service that was at the
--- a/pace/engine.go
+++ b/pace/engine.go
@@ -76,8 +76,8 @@
 	return fromMs(e.decayedLongest(now))
 }
 
-// MeasuredInterval returns the event interval that this instance has measured; 0 without recent
-// samples.
+// MeasuredInterval returns the event interval that this instance has measured; 0 without
+// recent samples.
 func (e *Engine) MeasuredInterval(now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/poison/crash.go
+++ b/poison/crash.go
@@ -45,8 +45,8 @@
 		Service  NeighbourCheck
 	}
 
-	// NeighbourCheck counts the other targets that were checked after a loss, and those of them
-	// that accepted no connection.
+	// NeighbourCheck counts the other targets that were checked after a loss, and those of
+	// them that accepted no connection.
 	NeighbourCheck struct{ Asked, Lost int }
 )
 
--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -120,7 +120,7 @@
 	// Status is the state of a request that is about to be sent.
 	Status struct {
 		Crashes         int           // targets that have crashed under the request
-		Quarantined     bool          // quarantined: the request must not be sent
+		Quarantined     bool          // the request must not be sent
 		Wait            time.Duration // until the next probe is due
 		Probe           Probe         // the next probe, to be claimed before it is sent
 		crashedVersions []string      // of the targets that crashed
@@ -290,8 +290,8 @@
 	return true
 }
 
-// RecordSuccess records that an attempt succeeded, or ran longer than a poison request takes to
-// crash its target. The request is released.
+// RecordSuccess records that an attempt succeeded, or ran longer than a poison request
+// takes to crash its target. The request is released.
 func (t *Tracker) RecordSuccess(f Fingerprint, now clock.Time) {
 	t.successes.add(f, now)
 	if t.suspectCount.Load() == 0 {
@@ -424,7 +424,8 @@
 }
 
 // ClaimProbe takes a probe for this instance. It returns false if another probe has been
-// made since the status was read. After a claim no probe is due until the longer delay is over.
+// made since the status was read. After a claim no probe is due until the longer delay is
+// over.
 func (t *Tracker) ClaimProbe(p Probe, row int64, now clock.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/registry/boots.go
+++ b/registry/boots.go
@@ -111,9 +111,9 @@
 	return slices.DeleteFunc(times, func(at clock.Time) bool { return now.Sub(at) > staleRegistrationAge })
 }
 
-// StaleRegistrations returns the number of recently found stale registrations of a service in a
-// zone. Targets of a zone are replaced together, so the zone's other
-// registrations are probably stale as well while the store is unavailable.
+// StaleRegistrations returns the number of recently found stale registrations of a service
+// in a zone. Targets of a zone are replaced together, so the zone's other registrations
+// are probably stale as well while the store is unavailable.
 func (r *Registry) StaleRegistrations(service, zone string, now clock.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/peer_selector.go
+++ b/relay/peer_selector.go
@@ -46,7 +46,7 @@
 	}
 )
 
-// NewPeerSelector returns the choice of the named instance. peers returns the peers that
+// NewPeerSelector returns the selector of the named instance. peers returns the peers that
 // the instance knows.
 func NewPeerSelector(node, zone string, peers func() []exchange.Peer) *PeerSelector {
 	return &PeerSelector{node: node, zone: zone, peers: peers, backoffs: map[string]peerBackoff{}}
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -259,16 +259,16 @@
 	}
 }
 
-// MarkStatusesRead records that all statuses were read from the store. Before that, Decide returns
-// nothing.
+// MarkStatusesRead records that all statuses were read from the store. Before that, Decide
+// returns nothing.
 func (t *Tracker) MarkStatusesRead() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.statusesRead = true
 }
 
-// RecordPeerEvidence records evidence of a peer. It ignores evidence that is not newer than the
-// latest of the same writer.
+// RecordPeerEvidence records evidence of a peer. It ignores evidence that is not newer
+// than the latest of the same writer.
 func (t *Tracker) RecordPeerEvidence(e Evidence) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -284,7 +284,8 @@
 	}
 }
 
-// RecordAnswer counts an answer to a call of this instance as evidence for the current order.
+// RecordAnswer counts an answer to a call of this instance as evidence for the current
+// order.
 func (t *Tracker) RecordAnswer(a Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/route/engine.go
+++ b/route/engine.go
@@ -63,7 +63,7 @@
 	Cold            bool    // reports that it is still slow after its start
 	Preference      float64 // 1 for the call's preferred target, less for the second one
 	Returning       bool    // the call was interrupted and its caller has reconnected
-	Excluded        bool    // excluded: already tried, or in the wrong zone for a replica
+	Excluded        bool    // already tried, or in the wrong zone for a replica
 	MissesObjective bool    // its first event is expected after the objective
 	Jitter          float64 // in [0, 1)
 }
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -46,8 +46,8 @@
 
 // entryLinkHost returns the loopback address on which the outgoing links of the nth
 // instance listen. Instances of a zone share these links, because they exchange rows of
-// the store, which contain the addresses of links. A shared link has the name of the zone's first
-// instance.
+// the store, which contain the addresses of links. A shared link has the name of the
+// zone's first instance.
 func entryLinkHost(n int) string { return fmt.Sprintf("127.0.%d.1", n%len(zones)+1) }
 
 // zoneFirsts returns the first instance of each zone, whose outgoing links the zone
