--- /dev/null
+++ b/poison/crash.go
@@ -0,0 +1,63 @@
+package poison
+
+import (
+	"github.com/ragworthitch/ragworthitch"
+)
+
+const (
+	// maxEarlyEvents is the number of events, over all attempts of a request, up to
+	// which a crash may be caused by the request: a poison request crashes its target
+	// soon after the attempt starts. Bystander streams are that young for a small part
+	// of their duration only.
+	maxEarlyEvents = 1
+	// Neighbours is how many other targets of the zone, and as many of the service, are
+	// checked for a connection when a target is lost under a young request.
+	Neighbours = 5
+	// outageThreshold is the number of lost neighbours that indicates a zone outage,
+	// or, if they are more than half of those checked, an outage of the service. A
+	// single lost neighbour may have crashed under the same request, sent by a peer.
+	outageThreshold = 2
+)
+
+type (
+	// Crash is the crash of a target soon after it started a request.
+	Crash struct {
+		Fingerprint Fingerprint
+		Boot        ragworthitch.Boot // of the target
+		Call        string            // id of the call that it ran
+		Org         string
+		Service     string
+		Version     string // of the target's software
+		// RecentSuccesses is how many attempts of the request had succeeded recently at the
+		// instance that observed the crash.
+		RecentSuccesses int
+		// InOutage is set if other targets of the zone or the service were lost at the
+		// same time. Such a crash counts only if several of them were running the
+		// request.
+		InOutage bool
+	}
+
+	// LossObservation is what an instance observed when an attempt lost its target.
+	LossObservation struct {
+		Events   int  // of all attempts of the request so far
+		Draining bool // the target was draining or had been deregistered
+		Zone     NeighbourCheck
+		Service  NeighbourCheck
+	}
+
+	// NeighbourCheck counts the other targets that were checked after a loss, and those of
+	// them that accepted no connection.
+	NeighbourCheck struct{ Asked, Lost int }
+)
+
+// Young reports whether a request with this many events may have crashed its target.
+func Young(events int) bool { return events <= maxEarlyEvents }
+
+// Counts reports whether the request may have caused the loss.
+func (l LossObservation) Counts() bool { return Young(l.Events) && !l.Draining }
+
+// InOutage reports whether the target was lost along with others.
+func (l LossObservation) InOutage() bool {
+	service := l.Service.Lost >= outageThreshold && 2*l.Service.Lost > l.Service.Asked
+	return l.Zone.Lost >= outageThreshold || service
+}
--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -11,24 +11,24 @@
 ROOT = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..")
 # name: promise, and file, text, replacement of each change
 BUGS = {
-    "a token comes twice": ("ORDER", "ingress/run.go", "	if _, err := s.w.Write(event.Raw); err != nil {", "	if event.ID == 7 {\n\t\ts.w.Write(event.Raw)\n\t}\n	if _, err := s.w.Write(event.Raw); err != nil {"),
-    "a stream that goes on begins anew": ("ORDER", "ingress/run.go", "		if event.ID <= s.lastID {", "		if false && event.ID <= s.lastID {",
-        "ingress/stream.go", "	if s.lastID > 0 {\n		o.After", "	if s.lastID < 0 {\n		o.After", "ingress/run.go", "		if !s.isNextID(event.ID, a.newEvents == 0) {", "		if false {"),
+    "a token comes twice": ("ORDER", "ingress/attempt.go", "	if _, err := s.w.Write(event.Raw); err != nil {", "	if event.ID == 7 {\n\t\ts.w.Write(event.Raw)\n\t}\n	if _, err := s.w.Write(event.Raw); err != nil {"),
+    "a stream that goes on begins anew": ("ORDER", "ingress/attempt.go", "		if event.ID <= s.lastID {", "		if false && event.ID <= s.lastID {",
+        "ingress/stream.go", "	if s.lastID > 0 {\n		r.ResumeOffset", "	if s.lastID < 0 {\n		r.ResumeOffset", "ingress/attempt.go", "		if !s.isNextID(event.ID, a.newEvents == 0) {", "		if false {"),
     "a cut stream looks complete": ("ORDER", "ingress/stream.go", "	s.logFailure(0, \"stream cut: \"+cause, err)\n	panic(http.ErrAbortHandler)", "	s.logFailure(0, \"stream cut: \"+cause, err)\n	return"),
-    "not run, though it may have": ("NOTRUN", "ingress/job.go", "	if !c.mayHaveRun {", "	if c != nil {"),
+    "not run, though it may have": ("NOTRUN", "ingress/active_call.go", "	if !c.mayHaveRun {", "	if c != nil {"),
     "payments are sent again": ("TWICE", "ingress/plain.go", "			if c.mayHaveRun && !safe {", "			if false && c.mayHaveRun && !safe {"),
-    "a removed key is good while the store is away": ("REVOKED", "desired/book.go", "		if age > b.ages.Key {", "		if false && age > b.ages.Key {"),
-    "states are taken over late": ("CURRENT", "desired/book.go", "	b.current.Store(newTable(d))", "	time.AfterFunc(4*time.Second, func() { b.current.Store(newTable(d)) })"),
-    "an older state is in force now and then": ("REVERTED", "desired/book.go", "	t := b.current.Load()\n	g :=", "	t := b.current.Load()\n	if p := b.old.Load(); p != nil && now%5 == 0 {\n		t = p\n	}\n	g :=",
-        "desired/book.go", "current    atomic.Pointer[table]", "current, old atomic.Pointer[table]", "desired/book.go", "	b.current.Store(newTable(d))", "	b.old.Store(b.current.Load())\n	b.current.Store(newTable(d))"),
+    "a removed key is good while the store is away": ("REVOKED", "desired/tracker.go", "		if age > t.ages.Key {", "		if false && age > t.ages.Key {"),
+    "states are taken over late": ("CURRENT", "desired/tracker.go", "	t.current.Store(newTable(d))", "	time.AfterFunc(4*time.Second, func() { t.current.Store(newTable(d)) })"),
+    "an older state is in force now and then": ("REVERTED", "desired/tracker.go", "	current := t.current.Load()\n	g :=", "	current := t.current.Load()\n	if p := t.old.Load(); p != nil && now%5 == 0 {\n		current = p\n	}\n	g :=",
+        "desired/tracker.go", "current    atomic.Pointer[table]", "current, old atomic.Pointer[table]", "desired/tracker.go", "	t.current.Store(newTable(d))", "	t.old.Store(t.current.Load())\n	t.current.Store(newTable(d))"),
     "targets that leave get work": ("DRAIN", "registry/registry.go", "!m.target.Draining() && ", ""),
     "calls are cut at the end": ("LOST", "instance/instance.go", "	if !clock.Sleep(lifetime, drainAcceptPeriod) {", "	if i != nil {"),
-    "another target's address": ("UNASKED", "platform/order.go", "	set(headerExpectedTarget, o.Target.ID())\n", ""),
-    "the key is passed on": ("UNASKED", "platform/names.go", "var systemHeaders = []string{headerKey, ", "var systemHeaders = []string{"),
+    "another target's address": ("UNASKED", "platform/sender.go", "	set(headerExpectedTarget, r.Target.ID())\n", ""),
+    "the key is passed on": ("UNASKED", "platform/headers.go", "var systemHeaders = []string{headerKey, ", "var systemHeaders = []string{"),
     "no end in time": ("FINAL", "ingress/handler.go", "	ctx, cancel := context.WithTimeout(ctx, limit)", "	ctx, cancel := context.WithTimeout(ctx, limit+time.Minute)"),
-    "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashKeeper{Store: i.store}.Make(writeCtx, edits[:n])", "	err := writeCtx.Err()"),
-    "a bystander is condemned": ("BYSTANDER", "poison/book.go", "		quarantine := !b.Dry && attributed >= threshold && b.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)", "		quarantine := attributed > 0"),
-    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.lost != nil {\n		close(s.lost)\n		s.lost = nil\n	}\n", "	panic(s)\n"),
+    "the verdict is forgotten at a restart": ("DEADLY", "instance/crashes.go", "	err := platform.CrashWriter{Store: i.store}.Apply(writeCtx, edits[:n])", "	err := writeCtx.Err()"),
+    "a bystander is condemned": ("BYSTANDER", "poison/tracker.go", "		quarantine := !t.DryRun && attributed >= threshold && t.recentSuccesses(s.suspect, now) <= maxSuccessesPerCrash*len(s.crashes)", "		quarantine := attributed > 0"),
+    "a panic ends the process": ("ALIVE", "health/health.go", "	if s.nextFailure != nil {\n		close(s.nextFailure)\n		s.nextFailure = nil\n	}\n", "	panic(s)\n"),
 }
 
 
