--- a/experiment/variant.go
+++ b/experiment/variant.go
@@ -21,7 +21,7 @@
 		NoReplicas bool                 // no replicas are kept
 		// NoQuarantine: poison requests are retried like others.
 		NoQuarantine bool
-		FixedPace    *pace.Pace // nil: learnt from the engines' answers
+		FixedPace    *pace.Pace // nil: the measured pace
 	}
 
 	// maskedPolicy is the product's policy without some of its inputs.
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -33,7 +33,7 @@
 		fromStart             bool          // the attempt neither resumes the stream nor uses a replica
 		prefillBacklog        int           // tokens that the target had to prefill first when the attempt was sent
 		// expectedAtSend is the time to first event expected from the service's usual
-		// speed; 0 if unknown.
+		// pace; 0 if unknown.
 		expectedAtSend time.Duration
 		prefillDone    func()     // removes prefillTokens from the target's load
 		firstEventAt   clock.Time // 0: none yet
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -55,11 +55,11 @@
 		borrowRetries  func(ctx context.Context, service string)
 		poisonTracker  *poison.Tracker
 		rollouts       *rollout.Tracker
-		claimProbe     func(ctx context.Context, t poison.Probe) bool
+		claimProbe     func(ctx context.Context, p poison.Probe) bool
 		isReady        func() bool
 		links          health.Links  // packet loss on the way to each zone
-		paces          pace.Services // learned speeds of the engines of each service
-		fixedPace      *pace.Pace    // nil: speeds are learned
+		paces          pace.Services // measured pace of the engines of each service
+		fixedPace      *pace.Pace    // nil: the measured pace
 		log            zerolog.Logger
 		stats          stats
 
@@ -93,7 +93,7 @@
 		Rollouts *rollout.Tracker
 		// ClaimProbe claims the probe of a quarantined request and reports whether this
 		// instance got it; nil: claims it in PoisonTracker only.
-		ClaimProbe func(ctx context.Context, t poison.Probe) bool
+		ClaimProbe func(ctx context.Context, p poison.Probe) bool
 		Log        zerolog.Logger
 		Scope      tally.Scope
 	}
