--- a/loopback/fork_test.go
+++ b/loopback/fork_test.go
@@ -1,6 +1,8 @@
 package loopback
 
 import (
+	"fmt"
+	"os"
 	"os/exec"
 	"sync"
 	"sync/atomic"
@@ -12,8 +14,6 @@
 // A port from FreePort can be listened on at once, while other goroutines fork: no
 // child inherits the listener with which FreePort tried the port.
 func TestPortFreeWhileProcessesStart(t *testing.T) {
-	// The runtime's first fork probes kernel features outside the fork lock.
-	require.NoError(t, exec.Command("true").Run())
 	var done atomic.Bool
 	var forks sync.WaitGroup
 	for range 6 {
@@ -33,3 +33,41 @@
 		ln.Close()
 	}
 }
+
+const (
+	firstForkHelpers = 40
+	firstForkPorts   = 60 // before and after the fork, within one block
+)
+
+// A port from FreePort can be listened on at once, also while the process forks for the
+// first time: os then clones a child without holding the fork lock. Each helper process
+// has one first fork.
+func TestPortFreeWhileFirstProcessStarts(t *testing.T) {
+	for i := range firstForkHelpers {
+		cmd := exec.Command(os.Args[0])
+		cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", portsEnv, firstForkPorts), forkEnv+"=1")
+		out, err := cmd.CombinedOutput()
+		require.NoError(t, err, "helper %d: %s", i, out)
+	}
+}
+
+// listenDuringFirstFork listens on n ports from FreePort, each as soon as it has it, and
+// starts the process's first child meanwhile.
+func listenDuringFirstFork(n int) error {
+	started := make(chan error, 1)
+	for i := range n {
+		if i == n/4 {
+			go func() { started <- exec.Command("true").Run() }()
+		}
+		port, err := FreePort()
+		if err != nil {
+			return err
+		}
+		ln, err := listen(port)
+		if err != nil {
+			return err
+		}
+		ln.Close()
+	}
+	return <-started
+}
--- a/loopback/ports.go
+++ b/loopback/ports.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"os"
 	"sync"
 	"syscall"
 )
@@ -40,11 +41,20 @@
 	// claimGuards keeps the listeners of used-up blocks open, because their
 	// ports stay in use.
 	claimGuards []net.Listener
+
+	// probeFork makes package os check for pidfd support. The check clones a child without
+	// holding syscall.ForkLock; otherwise it would run at the first start of a process.
+	probeFork = sync.OnceFunc(func() {
+		if p, err := os.FindProcess(os.Getpid()); err == nil {
+			p.Release()
+		}
+	})
 )
 
 // FreePort returns a free loopback port that no other test process gets while
 // this process lives. It fails if all blocks are claimed.
 func FreePort() (int, error) {
+	probeFork() // before a trial listener is open
 	claimMu.Lock()
 	defer claimMu.Unlock()
 	for {
--- a/loopback/ports_test.go
+++ b/loopback/ports_test.go
@@ -14,6 +14,7 @@
 
 const (
 	portsEnv = "LOOPBACK_PORTS" // number of ports that a helper process allocates
+	forkEnv  = "LOOPBACK_FORK"  // set: a helper process listens on its ports during its first fork
 
 	helpers        = 8
 	portsPerHelper = 250 // several blocks
@@ -26,6 +27,13 @@
 	if err != nil {
 		os.Exit(m.Run())
 	}
+	if os.Getenv(forkEnv) != "" {
+		if err := listenDuringFirstFork(n); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		return
+	}
 	for range n {
 		p, err := FreePort()
 		if err != nil {
