--- a/ingress/active_call.go
+++ b/ingress/active_call.go
@@ -25,7 +25,7 @@
 	w          http.ResponseWriter
 	call       *Call
 	grant      desired.Grant
-	print      poison.Fingerprint // identifies the request, also when the caller repeats it
+	print      poison.Fingerprint // identifies the request, also when the caller retries it
 	deadline   clock.Time
 	attempts   int        // attempts that reached a target or may have
 	mayHaveRun bool       // a target may have run the call
@@ -44,8 +44,8 @@
 func (c *activeCall) service() string { return c.grant.Service.Name() }
 
 // permitAttempt reports whether the call may be sent to one more target. The first attempt
-// is always permitted. A retry must be within the route's maximum number of targets, and
-// spends a retry of the retry budget.
+// is always permitted. A retry must be within the route's maximum number of attempts, and
+// is taken out of the retry budget.
 func (c *activeCall) permitAttempt(ctx context.Context) bool {
 	if c.attempts == 0 {
 		return true
@@ -71,14 +71,15 @@
 	return c.retryReserved
 }
 
-// revertAttempt takes back an attempt that has not reached its target. A retry that was
-// spent on the attempt stays reserved for the next one.
+// revertAttempt removes an attempt that did not reach its target from the count. A retry
+// that was spent on the attempt stays reserved for the next one.
 func (c *activeCall) revertAttempt() {
 	c.attempts--
 	c.retryReserved = c.retryReserved || c.attempts > 0
 }
 
-// obtainRetry reserves a retry and, if the budget has none left, borrows one from peers.
+// obtainRetry reports whether it could reserve a retry. If the budget has none left, it
+// first borrows from peers.
 func (c *activeCall) obtainRetry(ctx context.Context) bool {
 	if c.reserveRetry(clock.Now()) {
 		return true
@@ -126,9 +127,11 @@
 	for i, m := range ms {
 		t := m.Target()
 		load, interval := m.Work().All(), c.interval(m, p, now)
-		candidates[i] = route.EngineCandidate{AcceptsCalls: c.mayReceive(m, now), Backlog: float64(load.Prefill) / usualPrompt, Running: load.Running, Memory: memoryShare(load.Tokens, c.grant.Service.Engine()),
-			Slowdown: slowness(interval, p), Answer: generation,
-			MissesObjective: c.firstEventLate(load, interval, p, now), ErrorRate: m.Health().ErrorRate(now), SameZone: t.Zone() == c.h.zone, ZoneOutage: outageProbability[t.Zone()],
+		candidates[i] = route.EngineCandidate{AcceptsCalls: c.mayReceive(m, now), Backlog: float64(load.Prefill) / usualPrompt,
+			Running: load.Running, Memory: memoryShare(load.Tokens, c.grant.Service.Engine()),
+			Slowdown: slowdown(interval, p), Answer: generation,
+			MissesObjective: c.firstEventLate(load, interval, p, now), ErrorRate: m.Health().ErrorRate(now),
+			SameZone: t.Zone() == c.h.zone, ZoneOutage: outageProbability[t.Zone()],
 			Loss: c.h.links.Loss(t.Zone(), now), Cold: m.IsCold(now),
 			Preference: preferred[i], Returning: c.call.ResumeOffset != "",
 			Excluded: slices.Contains(excludedZones, t.Zone()) || slices.Contains(excluded, m), Jitter: rand.Float64()}
@@ -169,8 +172,8 @@
 	return m.Pace().EventInterval(usual, now)
 }
 
-// slowness returns an engine's event interval relative to the usual one; 0 if unknown.
-func slowness(interval time.Duration, p pace.Pace) float64 {
+// slowdown returns an engine's event interval relative to the usual one; 0 if unknown.
+func slowdown(interval time.Duration, p pace.Pace) float64 {
 	if p.EventInterval == 0 {
 		return 0
 	}
@@ -238,8 +241,8 @@
 	c.checkZoneNeighbours(m)
 }
 
-// checkZoneNeighbours checks the connections of the other targets in the zone of an
-// ejected one that have work of this instance. Targets of a zone often fail together, and
+// checkZoneNeighbours checks the connections of those targets in the zone of an ejected
+// target that have work of this instance. Targets of a zone often fail together, and
 // the calls at these targets then need not wait for their own timeouts.
 func (c *activeCall) checkZoneNeighbours(ejected *registry.Member) {
 	now := clock.Now()
--- a/ingress/admission.go
+++ b/ingress/admission.go
@@ -25,7 +25,8 @@
 	if s.call.ResumeOffset != "" {
 		prompt = 0 // the prefix may still be cached
 	}
-	return admit.Stream{Pace: s.pace(), EventInterval: interval, Remaining: s.remaining(clock.Now()), Prompt: prompt, Backlog: backlog, MaxTokens: s.call.MaxTokens, TokensPerEvent: s.tokensPerEvent(), ResumeOffset: s.lastID}
+	return admit.Stream{Pace: s.pace(), EventInterval: interval, Remaining: s.remaining(clock.Now()),
+		Prompt: prompt, Backlog: backlog, MaxTokens: s.call.MaxTokens, TokensPerEvent: s.tokensPerEvent(), ResumeOffset: s.lastID}
 }
 
 // rank returns the priority of the stream's next attempt, at the selected engine m. A
@@ -55,7 +56,7 @@
 }
 
 // prefillTokens returns how many tokens m has to prefill for the next attempt: none with a
-// replica, otherwise the events so far, and the prompt unless its prefix is cached.
+// replica, otherwise the tokens generated so far, and the prompt unless m has it cached.
 func (s *stream) prefillTokens(m, replicaTarget *registry.Member) int {
 	if replicaTarget != nil {
 		return 0
@@ -70,9 +71,9 @@
 // kvTokens returns the tokens that the stream is expected to hold in an engine's KV cache
 // at its end.
 func (s *stream) kvTokens() int {
-	share := s.pace().UsualAnswer
-	if share == 0 {
-		share = 1
+	answerShare := s.pace().UsualAnswer
+	if answerShare == 0 {
+		answerShare = 1
 	}
-	return s.call.Prompt + int(share*float64(s.call.MaxTokens))
+	return s.call.Prompt + int(answerShare*float64(s.call.MaxTokens))
 }
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -27,13 +27,13 @@
 		sentWallTime          time.Time     // wall clock, as in the start times that targets report
 		lastActivityAt        clock.Time    // when something was last received
 		connCheckedAt         clock.Time    // when the connection to the target was last checked
-		intervalObjective     time.Duration // objective of the route
+		intervalObjective     time.Duration // objective for event intervals
 		rank                  Rank          // priority at the target
 		prefillTokens         int           // tokens to prefill for this attempt
 		fromStart             bool          // the attempt neither resumes the stream nor uses a replica
 		prefillBacklog        int           // tokens that the target had to prefill first when the attempt was sent
 		// expectedAtSend is the time to first event expected from the service's usual
-		// speed; 0 if unknown.
+		// pace; 0 if unknown.
 		expectedAtSend time.Duration
 		prefillDone    func()     // removes prefillTokens from the target's load
 		firstEventAt   clock.Time // 0: none yet
@@ -42,8 +42,8 @@
 		results        chan readResult
 		connFailures   chan connFailure
 		sendResult     chan error // result of Sender.Send, sent once
-		events         int
-		newEvents      int // numbered events that the caller did not have yet
+		events         int        // events received
+		newEvents      int        // numbered events that the caller did not have yet
 		// headReceived is set with the head of the answer, which engines send when they
 		// start to generate.
 		headReceived     bool
@@ -113,7 +113,8 @@
 	emitResult(readResult{err: err, end: true})
 }
 
-// generationTime returns the time since the engine sent the head of its answer.
+// generationTime returns the time since the engine sent the head of its answer; 0 if it has
+// sent none.
 func (a *attempt) generationTime(now clock.Time) time.Duration {
 	if !a.headReceived {
 		return 0
--- a/ingress/bench_test.go
+++ b/ingress/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/ragworthitch/ragworthitch/clock"
 )
 
-// BenchmarkPickEngine measures the selection of an engine with all factors known, at the
-// present and at the planned number of engines.
+// BenchmarkPickEngine measures the selection of an engine with all factors known, among
+// few and among many engines.
 func BenchmarkPickEngine(b *testing.B) {
 	for _, n := range []int{24, 740} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -74,7 +74,7 @@
 	// upstream.ErrSent.
 	Sender interface {
 		// Send sends an attempt and returns the head of the answer.
-		Send(ctx context.Context, o *AttemptRequest) (*Reply, error)
+		Send(ctx context.Context, r *AttemptRequest) (*Reply, error)
 		// CheckConnection checks that a target accepts connections.
 		CheckConnection(ctx context.Context, m *registry.Member) error
 	}
@@ -103,7 +103,7 @@
 // whether its events were read or not.
 func EmptyBody(close func()) io.ReadCloser { return emptyBody{http.NoBody, close} }
 
-// Close closes the reply.
+// Close runs the function given to EmptyBody.
 func (b emptyBody) Close() error {
 	b.close()
 	return nil
--- a/ingress/canary.go
+++ b/ingress/canary.go
@@ -15,13 +15,12 @@
 )
 
 const (
-	// canaryTargetShare is the share of the new version's targets that get the canary
-	// calls, and minCanaryTargets the least number of these targets. The version's
-	// other targets get none, so that these have enough load to be compared with the
-	// baseline.
+	// canaryTargetShare is the share of the new version's targets that are canary targets,
+	// and minCanaryTargets their least number. The version's other targets get no canary
+	// calls, so that the canary targets have enough load to be compared with the baseline.
 	canaryTargetShare = 0.2
 	minCanaryTargets  = 3
-	// The pace of an attempt is recorded after speedSampleEvents events, and only if at
+	// The pace of an attempt is recorded after paceSampleEvents events, and only if at
 	// least minDecodeIntervals event intervals had no prefill beside them.
 	paceSampleEvents   = 10
 	minDecodeIntervals = 3
@@ -32,8 +31,9 @@
 	return c.h.rollouts.Place(c.service(), c.role, now)
 }
 
-// pickByPlacement selects a target with pick among those of the version that the placement
-// selects or, if pick finds none there, among those that the placement allows as spare.
+// pickByPlacement selects a target with pick among the targets of the version that the
+// placement selects or, if pick finds none there, among the targets that the placement
+// allows as spare.
 func (c *activeCall) pickByPlacement(now clock.Time, p rollout.Placement, pick func([]*registry.Member) *registry.Member) *registry.Member {
 	ms := c.h.targets.Service(c.service())
 	if !p.IsRestricted() {
@@ -61,7 +61,7 @@
 }
 
 // canaryTargets returns the targets of the new version that get the canary calls: the
-// first available ones in an order by hash, which is the same at all instances.
+// first targets that accept calls, in an order by hash that is the same at all instances.
 func canaryTargets(ms []*registry.Member, now clock.Time) []*registry.Member {
 	n := max(minCanaryTargets, int(canaryTargetShare*float64(len(ms))))
 	ms = slices.DeleteFunc(slices.Clone(ms), func(m *registry.Member) bool { return !m.AcceptsCalls(now) })
@@ -72,7 +72,7 @@
 	return ms[:min(n, len(ms))]
 }
 
-// recordSymptom records a symptom, or its absence, for the version of a target.
+// recordSymptom records for the version of a target whether an answer showed a symptom.
 func (c *activeCall) recordSymptom(m *registry.Member, symptom rollout.Symptom, bad bool) {
 	if !c.h.rollouts.Active() {
 		return
@@ -84,7 +84,8 @@
 			c.h.stats.badCanaryAnswers.Inc(1)
 		}
 	}
-	c.h.rollouts.RecordAnswer(rollout.Answer{Service: c.service(), Route: c.grant.Route.Name(), Target: t.ID(), Version: t.Version(), Symptom: symptom, Bad: bad})
+	c.h.rollouts.RecordAnswer(rollout.Answer{Service: c.service(), Route: c.grant.Route.Name(),
+		Target: t.ID(), Version: t.Version(), Symptom: symptom, Bad: bad})
 }
 
 // recordBrokenAnswer records an answer that broke off as a failure of the target's
--- a/ingress/conn_check_test.go
+++ b/ingress/conn_check_test.go
@@ -37,14 +37,14 @@
 	})
 }
 
-// quietSender sends an event, then nothing for the given time, then the rest. Its targets
+// silentSender sends an event, then nothing for the given time, then the rest. Its targets
 // accept no connection.
-type quietSender struct {
+type silentSender struct {
 	silence  time.Duration
 	attempts atomic.Int32
 }
 
-func (s *quietSender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
+func (s *silentSender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
 	attempt := s.attempts.Add(1)
 	events := func(emit func(Event) bool) error {
 		for n := int64(1); n <= 3; n++ {
@@ -59,14 +59,14 @@
 }
 
 // CheckConnection fails after the dial timeout.
-func (*quietSender) CheckConnection(ctx context.Context, _ *registry.Member) error {
+func (*silentSender) CheckConnection(ctx context.Context, _ *registry.Member) error {
 	clock.Sleep(ctx, upstream.DialTimeout)
 	return upstream.ErrNotSent
 }
 
-// A silent target that accepts no connection is lost within 300 ms, including the dial
-// timeout. A target that sends an event during the connection check is kept, since only
-// packets may have been lost.
+// A stream at a silent target that accepts no connection fails over within 300 ms,
+// including the dial timeout. It stays at a target that sends an event during the
+// connection check, since only packets may have been lost.
 func TestSilentTargetFailsOver(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -78,7 +78,7 @@
 	}
 	for _, tt := range tests {
 		bubble(t, tt.name, func(t *testing.T) {
-			s := &quietSender{silence: tt.silence}
+			s := &silentSender{silence: tt.silence}
 			startedAt := clock.Now()
 			w, cut := serve(newTestHandler(t, s, ragworthitch.CallStream), &Call{ID: "call", Method: "POST", Host: "h", Path: "/p/x",
 				Header: http.Header{}, Prompt: 10, Received: startedAt})
--- a/ingress/events.go
+++ b/ingress/events.go
@@ -27,8 +27,8 @@
 }
 
 // readEvents passes every complete event of a text/event-stream to emit, which may keep
-// it. A truncated event is not passed on. It returns nil if the stream ended between two
-// events.
+// the event, until emit returns false. readEvents returns an error if the stream ends
+// within an event, an event is longer than maxEventBytes, or reading fails.
 func readEvents(r io.Reader, emit func(Event) bool) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, eventBufferBytes), maxEventBytes)
--- a/ingress/fuzz_test.go
+++ b/ingress/fuzz_test.go
@@ -30,7 +30,7 @@
 const (
 	streamEvents = 12 // events of a complete stream
 	testTargets  = 6  // targets that newTestHandler adds
-	maxTargets   = 4  // attempts that the route allows
+	maxAttempts  = 4  // attempts that the route allows
 )
 
 var errBroken = errors.New("connection reset")
@@ -44,58 +44,58 @@
 	reached int // attempts that reached a target
 }
 
-func (m *faultySender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (s *faultySender) Send(ctx context.Context, r *AttemptRequest) (*Reply, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("%w: %w", upstream.ErrNotSent, ctx.Err())
 	}
-	outcome := m.rng.IntN(10)
+	outcome := s.rng.IntN(10)
 	if outcome == 0 {
 		return nil, fmt.Errorf("%w: refused", upstream.ErrNotSent)
 	}
-	m.reached++
+	s.reached++
 	switch outcome {
 	case 1:
 		return &Reply{Status: http.StatusServiceUnavailable, NotRun: true, Header: http.Header{}, Body: body("")}, nil
 	case 2:
 		return &Reply{Status: http.StatusMisdirectedRequest, WrongTarget: true, Header: http.Header{}, Body: body("")}, nil
 	}
-	m.started++
+	s.started++
 	switch outcome {
 	case 3:
 		return nil, fmt.Errorf("%w: reset", upstream.ErrSent)
 	case 4:
 		return &Reply{Status: http.StatusInternalServerError, Header: http.Header{}, Body: body("failed")}, nil
 	}
-	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: m.stream(r)}, nil
+	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{"Content-Type": {"text/event-stream"}}, Body: s.stream(r)}, nil
 }
 
 // startedCount returns the number of attempts that a target has started to run.
-func (m *faultySender) startedCount() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.started
+func (s *faultySender) startedCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.started
 }
 
 // stream returns the events after the resume offset or, as an engine with a fault, from
 // another offset; complete or cut off at any byte.
-func (m *faultySender) stream(r *AttemptRequest) io.ReadCloser {
+func (s *faultySender) stream(r *AttemptRequest) io.ReadCloser {
 	lastEvent, _ := strconv.Atoi(r.ResumeOffset) // empty: from the start
-	switch fault := m.rng.IntN(8); {
+	switch fault := s.rng.IntN(8); {
 	case fault == 0:
-		lastEvent = max(0, lastEvent-1-m.rng.IntN(3)) // repeats events that the caller has
+		lastEvent = max(0, lastEvent-1-s.rng.IntN(3)) // repeats events that the caller has
 	case fault == 1 && lastEvent > 0 && lastEvent < streamEvents-2: // without any event the gap could not be detected
-		lastEvent += 1 + m.rng.IntN(2) // leaves a gap
+		lastEvent += 1 + s.rng.IntN(2) // leaves a gap
 	}
 	var b strings.Builder
 	for n := lastEvent + 1; n <= streamEvents; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s/%d\n\n", n, r.Call.ID, n)
 	}
-	if m.rng.IntN(2) == 0 || b.Len() == 0 {
+	if s.rng.IntN(2) == 0 || b.Len() == 0 {
 		return body(b.String())
 	}
-	return io.NopCloser(io.MultiReader(strings.NewReader(b.String()[:m.rng.IntN(b.Len())]), brokenReader{}))
+	return io.NopCloser(io.MultiReader(strings.NewReader(b.String()[:s.rng.IntN(b.Len())]), brokenReader{}))
 }
 
 func body(s string) io.ReadCloser { return io.NopCloser(strings.NewReader(s)) }
@@ -112,7 +112,7 @@
 		Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: "llm",
 			Engine: &ragworthitch.Engine{Slots: 8, KVTokens: 80000, CanReplicate: true, TokensPerEvent: 10}})},
 		Routes: []ragworthitch.Route{ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "r", Host: "h", Prefix: "/p/", Kind: kind,
-			Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: maxTargets, Resumable: true,
+			Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: maxAttempts, Resumable: true,
 			Shares: []ragworthitch.Share{{Service: "llm", Weight: 1}}})}})
 	require.NoError(t, err)
 	tracker := desired.NewTracker(desired.Ages{Reject: time.Minute, Key: time.Minute})
@@ -142,16 +142,16 @@
 	for seed := range uint64(300) {
 		f.Add(seed, uint8(seed%(streamEvents+1)))
 	}
-	f.Fuzz(func(t *testing.T, seed uint64, after uint8) {
+	f.Fuzz(func(t *testing.T, seed uint64, offset uint8) {
 		s := &faultySender{rng: rand.New(rand.NewPCG(seed, 2))}
-		first := int(after) % (streamEvents + 1)
+		lastEvent := int(offset) % (streamEvents + 1)
 		c := &Call{ID: "call", Method: "POST", Host: "h", URI: "/p/x", Path: "/p/x", Header: http.Header{}, Prompt: 10, MaxTokens: 100, Received: clock.Now()}
-		if first > 0 {
-			c.ResumeOffset = strconv.Itoa(first)
+		if lastEvent > 0 {
+			c.ResumeOffset = strconv.Itoa(lastEvent)
 		}
 		w, cut := serve(newTestHandler(t, s, ragworthitch.CallStream), c)
-		checkStream(t, w, cut, first)
-		require.LessOrEqual(t, s.startedCount(), maxTargets)
+		checkStream(t, w, cut, lastEvent)
+		require.LessOrEqual(t, s.startedCount(), maxAttempts)
 		if w.Code == http.StatusServiceUnavailable && !cut {
 			require.Zero(t, s.startedCount(), "rejected as not run, though it ran")
 		}
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -55,11 +55,11 @@
 		borrowRetries  func(ctx context.Context, service string)
 		poisonTracker  *poison.Tracker
 		rollouts       *rollout.Tracker
-		claimProbe     func(ctx context.Context, t poison.Probe) bool
+		claimProbe     func(ctx context.Context, p poison.Probe) bool
 		isReady        func() bool
-		links          health.Links  // packet loss on the way to each zone
-		paces          pace.Services // learned speeds of the engines of each service
-		fixedPace      *pace.Pace    // nil: speeds are learned
+		links          health.Links  // packet loss on the link to each zone
+		paces          pace.Services // measured paces of the engines of each service
+		fixedPace      *pace.Pace    // nil: the measured paces apply
 		log            zerolog.Logger
 		stats          stats
 
@@ -82,7 +82,7 @@
 		Engines        EnginePolicy  // nil: route.Engines
 		FixedPace      *pace.Pace    // fixed pace of all services, for comparisons; nil: the measured pace
 		TargetWait     time.Duration // how long an interrupted stream waits for an available target
-		Ready          func() bool   // reports whether this instance serves calls well; nil: always
+		Ready          func() bool   // reports whether this instance should get calls; nil: always
 		NotifyPeers    func()        // sends this instance's load and reports to its peers; nil: no peers
 		// BorrowRetries requests retries of a service from peers for the retry budget and
 		// returns when the requests have completed; nil: no peers.
@@ -93,7 +93,7 @@
 		Rollouts *rollout.Tracker
 		// ClaimProbe claims the probe of a quarantined request and reports whether this
 		// instance got it; nil: claims it in PoisonTracker only.
-		ClaimProbe func(ctx context.Context, t poison.Probe) bool
+		ClaimProbe func(ctx context.Context, p poison.Probe) bool
 		Log        zerolog.Logger
 		Scope      tally.Scope
 	}
@@ -122,8 +122,10 @@
 	if cfg.Ready == nil {
 		cfg.Ready = func() bool { return true }
 	}
-	return &Handler{notifyPeers: cfg.NotifyPeers, borrowRetries: cfg.BorrowRetries, poisonTracker: cfg.PoisonTracker, rollouts: cfg.Rollouts, claimProbe: cfg.ClaimProbe, isReady: cfg.Ready, zone: cfg.Zone, desiredState: cfg.DesiredState, targets: cfg.Targets, cacheLocations: cfg.CacheLocations, retryBudget: cfg.RetryBudget,
-		sender: cfg.Sender, enginePolicy: cfg.Engines, fixedPace: cfg.FixedPace, targetWait: cfg.TargetWait, log: cfg.Log, stats: newStats(cfg.Scope)}
+	return &Handler{notifyPeers: cfg.NotifyPeers, borrowRetries: cfg.BorrowRetries, poisonTracker: cfg.PoisonTracker,
+		rollouts: cfg.Rollouts, claimProbe: cfg.ClaimProbe, isReady: cfg.Ready, zone: cfg.Zone, desiredState: cfg.DesiredState,
+		targets: cfg.Targets, cacheLocations: cfg.CacheLocations, retryBudget: cfg.RetryBudget, sender: cfg.Sender,
+		enginePolicy: cfg.Engines, fixedPace: cfg.FixedPace, targetWait: cfg.TargetWait, log: cfg.Log, stats: newStats(cfg.Scope)}
 }
 
 // Drain starts draining: the handler asks callers to use other instances and rejects new
@@ -172,7 +174,7 @@
 	}
 	stream := newStream(c)
 	if h.Draining() && stream.expectedDuration() > clock.Time(h.drainDeadline.Load()).Sub(now) {
-		// The stream would be cut off at the end of the grace period.
+		// The stream would be cut off at the drain deadline.
 		c.reject("draining", drainingRetryAfter)
 		return
 	}
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -185,7 +185,8 @@
 		result.member.Health().Answered(now, took, true)
 		go c.investigatePlainLoss(result.member, startedAt)
 		c.recordPlainSymptoms(result, startedAt, took)
-		c.h.log.Warn().Str("request", c.call.ID).Stringer("fingerprint", c.print).Str("target", result.member.Target().ID()).Dur("after", took).Err(result.err).Msg("ingress: target sent no complete answer")
+		c.h.log.Warn().Str("request", c.call.ID).Stringer("fingerprint", c.print).
+			Str("target", result.member.Target().ID()).Dur("after", took).Err(result.err).Msg("ingress: target sent no complete answer")
 	case result.reply.WrongTarget:
 		c.dropStaleEntry(result.member)
 	default:
@@ -212,6 +213,7 @@
 	}
 }
 
+// readBody reads and closes the body of an answer of at most maxAnswerBytes.
 func readBody(r io.ReadCloser) ([]byte, error) {
 	defer r.Close()
 	b, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes+1))
--- a/ingress/poison_test.go
+++ b/ingress/poison_test.go
@@ -66,8 +66,8 @@
 		return s.plain(ctx, r, crashes)
 	}
 	events := func(emit func(Event) bool) error {
-		after, _ := strconv.Atoi(r.ResumeOffset) // resume offset; empty: none
-		for n := after + 1; n <= streamEvents; n++ {
+		lastEvent, _ := strconv.Atoi(r.ResumeOffset) // empty: from the start
+		for n := lastEvent + 1; n <= streamEvents; n++ {
 			if crashes && n > s.crashAfterEvents {
 				clock.Sleep(ctx, crashDelay)
 				s.crash(r.Member)
@@ -135,7 +135,8 @@
 }
 
 func newCall(body string) *Call {
-	return &Call{ID: fmt.Sprint("call-", callCount.Add(1)), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Body: []byte(body), Prompt: 10, MaxTokens: 100, Received: clock.Now()}
+	return &Call{ID: fmt.Sprint("call-", callCount.Add(1)), Method: "POST", Host: "h", Path: "/p/x", Header: http.Header{}, Body: []byte(body),
+		Prompt: 10, MaxTokens: 100, Received: clock.Now()}
 }
 
 func assertQuarantined(t *testing.T, w *httptest.ResponseRecorder, cut bool) {
@@ -283,7 +284,8 @@
 	h := newTestHandler(t, s, ragworthitch.CallStream)
 	c := newCall(poisonBody)
 	for i := range 3 {
-		h.poisonTracker.RecordCrash(poison.Crash{Fingerprint: poison.Of("", c.Method, c.Host, c.Path, c.Body), Boot: ragworthitch.NewBoot(fmt.Sprint("x", i), 0), Service: "llm", Version: "v1"},
+		h.poisonTracker.RecordCrash(poison.Crash{Fingerprint: poison.Of("", c.Method, c.Host, c.Path, c.Body),
+			Boot: ragworthitch.NewBoot(fmt.Sprint("x", i), 0), Service: "llm", Version: "v1"},
 			poison.SourcePeer, clock.Now())
 	}
 	return h
--- a/ingress/replica.go
+++ b/ingress/replica.go
@@ -47,7 +47,7 @@
 	return m
 }
 
-// placeReplica selects the replica target of an attempt at m and sets its address in o. The
+// placeReplica selects the replica target of an attempt at m and sets its address in r. The
 // replica target is an engine in another zone, since engines of one zone often fail
 // together, and if possible in a zone where the stream has lost no attempt recently.
 func (s *stream) placeReplica(m *registry.Member, r *AttemptRequest) {
--- a/ingress/replica_test.go
+++ b/ingress/replica_test.go
@@ -20,7 +20,7 @@
 type replicaSender struct {
 	h             *Handler
 	service       string // of the target that takes over the address
-	started       int64
+	started       int64  // its start time in Unix milliseconds; 0: not reported
 	secondAttempt *AttemptRequest
 }
 
--- a/ingress/return_test.go
+++ b/ingress/return_test.go
@@ -24,8 +24,8 @@
 	return &Reply{Status: http.StatusOK, Delimited: true, Header: http.Header{}, Body: body("id: 8\ndata: x\n\n")}, nil
 }
 
-// A resumed stream goes to the engine with its cached prefix, as any instance learns it
-// from peers, unless that engine has a long backlog. Without a known cache location every
+// A resumed stream goes to the engine with its cached prefix, known here from a peer's
+// report, unless that engine has a long backlog. Without a known cache location every
 // instance prefers the same target.
 func TestResumedStreamUsesCachedPrefix(t *testing.T) {
 	s := &addressSender{}
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -194,18 +194,18 @@
 	return silenceCheckInterval
 }
 
-// observeEvent records the time of an event, from which the speed of the target and packet
-// loss on the way to it are learned.
+// observeEvent records the time of an event, from which the pace of the target and packet
+// loss on the link to its zone are learned.
 func (a *attempt) observeEvent(readAt clock.Time) {
-	service := a.s.h.paces.Of(a.s.service())
+	servicePace := a.s.h.paces.Of(a.s.service())
 	if a.lastEventAt == 0 {
 		a.firstEventAt, a.lastEventAt = readAt, readAt
 		if a.fromStart {
-			service.AddWait(readAt.Sub(a.startedAt), a.expectedFirstEvent(readAt))
+			servicePace.AddWait(readAt.Sub(a.startedAt), a.expectedFirstEvent(readAt))
 		}
 		return
 	}
-	interval, usual := readAt.Sub(a.lastEventAt), a.s.intervalFromUsual(a.member, service.EventInterval(), readAt)
+	interval, usual := readAt.Sub(a.lastEventAt), a.s.intervalFromUsual(a.member, servicePace.EventInterval(), readAt)
 	if a.lastEventLate && interval <= scaled(burstIntervals, usual) {
 		a.recordPacketLoss(readAt)
 	}
@@ -215,14 +215,15 @@
 	a.member.Pace().Event(interval, decodeOnly, readAt)
 	if decodeOnly {
 		a.decodeIntervals.add(interval)
-		service.Event(interval)
+		servicePace.Event(interval)
 	}
 	if a.events == firstEventSampleAt && a.fromStart && a.prefillBacklog == 0 {
-		service.AddFirstEvent(a.firstEventAt.Sub(a.startedAt), a.prefillTokens, a.member.Pace().MeasuredInterval(readAt))
+		servicePace.AddFirstEvent(a.firstEventAt.Sub(a.startedAt), a.prefillTokens, a.member.Pace().MeasuredInterval(readAt))
 	}
 }
 
-// recordPacketLoss records a lost packet on the link to the target's zone.
+// recordPacketLoss records a lost packet on the link to the target's zone, and logs the
+// link when it starts to count as lossy.
 func (a *attempt) recordPacketLoss(readAt clock.Time) {
 	zone := a.member.Target().Zone()
 	if !a.s.h.links.Stalled(zone, readAt) {
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -132,8 +132,9 @@
 	if !a.headReceived || !errors.Is(err, upstream.ErrNotSent) { // the target did not just reject the call
 		s.lostAttempts = append(s.lostAttempts, lostAttempt{zone: m.Target().Zone(), at: now})
 	}
-	s.h.log.Warn().Str("request", s.call.ID).Stringer("fingerprint", s.print).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).Bool("fromCopy", a.replicaTarget != nil).
-		Int64("lastEvent", s.lastID).Bool("answered", a.headReceived).Dur("generated", a.generationTime(now)).Int("events", a.events).Dur("ran", now.Sub(a.startedAt)).Dur("quiet", now.Sub(a.lastActivityAt)).
+	s.h.log.Warn().Str("request", s.call.ID).Stringer("fingerprint", s.print).Str("target", m.Target().ID()).Str("targetZone", m.Target().Zone()).
+		Bool("fromCopy", a.replicaTarget != nil).Int64("lastEvent", s.lastID).Bool("answered", a.headReceived).Dur("generated", a.generationTime(now)).
+		Int("events", a.events).Dur("ran", now.Sub(a.startedAt)).Dur("quiet", now.Sub(a.lastActivityAt)).
 		Dur("after", now.Sub(s.call.Received)).Int("sends", s.attempts).Err(err).Msg("resume: attempt ended early")
 }
 
@@ -160,6 +161,7 @@
 	panic(http.ErrAbortHandler)
 }
 
+// abortExpired ends a stream whose deadline has passed or whose caller has disconnected.
 func (s *stream) abortExpired(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		s.abandon()
@@ -193,7 +195,9 @@
 	defer attemptDone()
 	s.h.rollouts.Sent(s.service(), member.Target().Version(), s.role, s.attempts > 0)
 	s.attempts++
-	a := &attempt{s: s, member: member, replicaTarget: replicaTarget, startedAt: now, sentWallTime: time.Now(), lastActivityAt: now, intervalObjective: s.intervalObjective(), rank: r.Rank, prefillTokens: prefillTokens, fromStart: s.lastID == 0 && replicaTarget == nil, prefillBacklog: prefillBacklog, prefillDone: prefillDone,
+	a := &attempt{s: s, member: member, replicaTarget: replicaTarget, startedAt: now, sentWallTime: time.Now(), lastActivityAt: now,
+		intervalObjective: s.intervalObjective(), rank: r.Rank, prefillTokens: prefillTokens,
+		fromStart: s.lastID == 0 && replicaTarget == nil, prefillBacklog: prefillBacklog, prefillDone: prefillDone,
 		results: make(chan readResult, eventQueueSize), connFailures: make(chan connFailure), sendResult: make(chan error, 1)}
 	p := s.pace()
 	a.expectedAtSend = p.TimeToFirstEvent(prefillBacklog+prefillTokens, p.EventInterval)
@@ -209,7 +213,8 @@
 	return a, a.resolveSendError(err)
 }
 
-// intervalObjective returns the longest event interval that callers expect.
+// intervalObjective returns the objective for event intervals, by default
+// defaultIntervalObjective.
 func (s *stream) intervalObjective() time.Duration {
 	if objective := s.grant.Route.IntervalObjective(); objective > 0 {
 		return objective
@@ -249,7 +254,7 @@
 	s.headSent = true
 }
 
-// recordFailover records and logs that the stream continues.
+// recordFailover records and logs that the stream continues with attempt a.
 func (s *stream) recordFailover(a *attempt) {
 	interruption := clock.Now().Sub(s.interruptedAt)
 	s.interruptedAt = 0
--- a/ingress/yield_test.go
+++ b/ingress/yield_test.go
@@ -64,7 +64,7 @@
 
 // Streams get no replica when the memory of engines is short, since replicas would make
 // engines preempt running streams.
-func TestReplicasYield(t *testing.T) {
+func TestNoReplicaWhenMemoryShort(t *testing.T) {
 	for _, tt := range []struct {
 		usedTokens int // tokens of the 80,000 that an engine holds
 		replicated bool
