--- a/budget/budget.go
+++ b/budget/budget.go
@@ -51,15 +51,16 @@
 		services map[string]*window
 	}
 
+	// window counts the recent calls and retries of one service, by bucket.
 	window struct {
-		calls, retries [buckets]int
+		calls, retries [buckets]int // retries: made or lent
 		borrowed       borrowedRetries
-		newest         int64 // number of the newest bucket
+		newest         int64 // number of the newest bucket since time 0
 	}
 )
 
-// New returns a budget with the given limit. A nil instances means that the limit
-// isn't shared.
+// New returns a budget with the given limit. A nil instanceCount means that the
+// limit isn't shared.
 func New(l Limit, instanceCount InstanceCount) *Budget {
 	return &Budget{limit: l, instanceCount: instanceCount, bucketSpan: max(l.Window/buckets, time.Millisecond), services: map[string]*window{}}
 }
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -18,19 +18,22 @@
 	return clock.Time(100*time.Second) + clock.Time(s*float64(time.Second))
 }
 
+// budgetCase is a case of testdata/budget.yaml.
 type budgetCase struct {
-	Name    string
-	Entries int // known at 0 s; 0: unknown
-	Steps   []struct {
+	Name      string
+	Instances int // known at 0 s; 0: unknown
+	Steps     []struct {
 		Calls, Spend, Granted int
 		At                    float64
 	}
 }
 
+// Guards against retries beyond an instance's part of the budget, and against retries
+// that stay counted after they have left the window.
 func TestBudget(t *testing.T) {
 	for _, tt := range cases.Load[budgetCase](t, "testdata/budget.yaml") {
 		t.Run(tt.Name, func(t *testing.T) {
-			b := New(testLimit, func() (int, clock.Time, bool) { return tt.Entries, at(0), tt.Entries > 0 })
+			b := New(testLimit, func() (int, clock.Time, bool) { return tt.Instances, at(0), tt.Instances > 0 })
 			for i, s := range tt.Steps {
 				for range s.Calls {
 					b.CountCall("svc", at(s.At))
@@ -50,9 +53,9 @@
 // instance is an entry instance whose view of the number of instances is late.
 type instance struct {
 	b       *Budget
-	n       int
-	at      clock.Time
-	failing bool // its calls fail
+	n       int        // number of instances that it knows of; 0: unknown
+	at      clock.Time // when n was read
+	failing bool       // its calls fail
 }
 
 // Guards against instances that together exceed the retry budget in some window
@@ -71,10 +74,11 @@
 	}
 }
 
-// deploymentCase is a deployment whose instances change; see testdata/storms.yaml.
+// deploymentCase is a case of testdata/storms.yaml: a deployment whose calls fail, and
+// whose instances may change.
 type deploymentCase struct {
 	Name       string
-	Entries    int     // at the start
+	Instances  int     // at the start
 	Quiet      bool    // one call per second in total instead of one per instance
 	Unreadable bool    // the table of instances can't be read
 	Outage     float64 // second from which the table can't be read; 0: none
@@ -101,7 +105,7 @@
 		e.b = New(testLimit, func() (int, clock.Time, bool) { return e.n, e.at, e.n > 0 })
 		all = append(all, e)
 	}
-	for range tt.Entries {
+	for range tt.Instances {
 		add()
 	}
 	calls, retries := make([]int, ticks), make([]int, ticks)
--- a/budget/loan.go
+++ b/budget/loan.go
@@ -46,10 +46,10 @@
 }
 
 // take uses a borrowed retry and reports whether there was one.
-func (c *borrowedRetries) take(now clock.Time) bool {
-	if c.n == 0 || now >= c.expires {
+func (r *borrowedRetries) take(now clock.Time) bool {
+	if r.n == 0 || now >= r.expires {
 		return false
 	}
-	c.n--
+	r.n--
 	return true
 }
