--- a/lend/lend.go
+++ b/lend/lend.go
@@ -21,7 +21,8 @@
 )
 
 const (
-	// retriesPerLoan covers the few streams that an instance has in one zone.
+	// retriesPerLoan is the number of retries that a borrower asks for. It covers the
+	// few streams that an instance has in one zone.
 	retriesPerLoan = 4
 	// maxLenders is the number of instances that are asked in a round, one after the
 	// other, until one of them lends.
@@ -32,7 +33,8 @@
 	// roundInterval is the time after a failed round during which no new one starts.
 	// It limits the requests in an overload, when no instance has retries to lend.
 	roundInterval = 250 * time.Millisecond
-	idleTimeout   = 60 * time.Second
+	// idleTimeout is the time after which a lender closes a connection without requests.
+	idleTimeout = 60 * time.Second
 )
 
 type (
--- a/lend/lend_test.go
+++ b/lend/lend_test.go
@@ -21,6 +21,7 @@
 
 var limit = budget.Limit{Ratio: 0.8, Extra: 20, Window: 10 * time.Second}
 
+// spendAll uses up a budget and returns the number of retries that were left.
 func spendAll(b *budget.Budget) (n int) {
 	for b.Spend(service, clock.Now()) {
 		n++
@@ -28,6 +29,7 @@
 	return n
 }
 
+// peer starts an instance that lends retries of b.
 func peer(t *testing.T, node, zone string, b *budget.Budget) exchange.Peer {
 	srv := httptest.NewServer(&Lender{Budget: b, Log: zerolog.Nop()})
 	t.Cleanup(func() { srv.CloseClientConnections(); srv.Close() })
