--- a/route/engine.go
+++ b/route/engine.go
@@ -20,7 +20,7 @@
 	crossZoneCost = 0.5
 	// packetLossCost is the cost of a link that certainly loses packets. A
 	// retransmission takes 200 ms or more; in a long stream it makes events
-	// late more often than a queue of this length does.
+	// late more often than a queue of as many prefills does.
 	packetLossCost = 2.5
 	// jitterWeight is the weight of a random term. It spreads the choices of
 	// instances that don't know of each other's calls yet.
@@ -100,11 +100,12 @@
 	return s - bonus*c.Preference
 }
 
-// PreferenceWeights returns the affinity of a call for each engine, by rendezvous hashing
-// of the call's subject and the engines' addresses: 1 for the preferred
-// target, less for the second one, 0 for the others. All instances agree on
-// the preferred target. It changes only when that engine leaves, or when an
-// engine with a higher hash joins. An empty subject has no preferred target.
+// PreferenceWeights returns EngineCandidate.Preference of each engine for a
+// call, by rendezvous hashing of the call's subject and the engines' addresses:
+// 1 for the preferred target, less for the second one, 0 for the others. All
+// instances agree on the preferred target. The preferred target changes only
+// when its engine leaves, or when an engine with a higher hash joins. A call
+// with an empty subject has no preferred target.
 func PreferenceWeights(subject string, addrs []string) []float64 {
 	out := make([]float64, len(addrs))
 	if subject == "" {
--- a/route/engine_test.go
+++ b/route/engine_test.go
@@ -19,23 +19,24 @@
 )
 
 type (
+	// loadPattern is a case of testdata/loads.yaml.
 	loadPattern struct {
-		Name       string
-		Entries    int
-		Engines    int
-		Streams    int
-		WithinMs   int `yaml:"withinMs"`
-		Prompt     int
-		Shared     bool
-		Troubled   int
-		Worst      float64
-		AtLeast    float64 `yaml:"atLeast"`
-		OnTroubled int     `yaml:"onTroubled"`
+		Name            string
+		Instances       int
+		Engines         int
+		Streams         int
+		WithinMs        int `yaml:"withinMs"`
+		Prompt          int
+		Shared          bool
+		Outage          int // number of engines in the failed zone
+		Worst           float64
+		AtLeast         float64 `yaml:"atLeast"`
+		MaxSentToOutage int     `yaml:"onTroubled"`
 	}
 
-	// sentCall is an attempt of an instance (entry), sent at a time in ms.
+	// sentCall is an attempt that an instance sent to an engine at a time in ms.
 	sentCall struct {
-		at, engine, entry int
+		at, engine, instance int
 	}
 
 	// loadRun replays one pattern with one seed.
@@ -58,7 +59,7 @@
 			for seed := range uint64(repetitions) {
 				r := &loadRun{loadPattern: tt, rng: rand.New(rand.NewPCG(seed, 7))}
 				longestQueueMs += r.simulate() / repetitions
-				assert.LessOrEqual(t, r.sentToTroubled(), tt.OnTroubled)
+				assert.LessOrEqual(t, r.sentToOutage(), tt.MaxSentToOutage)
 			}
 			t.Logf("longest queue %.0f ms", longestQueueMs)
 			assert.LessOrEqual(t, longestQueueMs, tt.Worst)
@@ -77,23 +78,23 @@
 	sort.Ints(times)
 	longest := 0.0
 	for _, at := range times {
-		entry := r.rng.IntN(r.Entries)
-		engine := r.choose(at, entry)
+		instance := r.rng.IntN(r.Instances)
+		engine := r.choose(at, instance)
 		longest = max(longest, r.queue(at, engine, func(sentCall) bool { return true })/prefillTokensPerMs)
-		r.sent = append(r.sent, sentCall{at: at, engine: engine, entry: entry})
+		r.sent = append(r.sent, sentCall{at: at, engine: engine, instance: instance})
 	}
 	return longest
 }
 
 // choose returns the engine for a stream that arrives at an instance.
-func (r *loadRun) choose(at, entry int) int {
-	known := func(s sentCall) bool { return s.entry == entry || r.Shared && s.at+updateDelayMs <= at }
+func (r *loadRun) choose(at, instance int) int {
+	known := func(s sentCall) bool { return s.instance == instance || r.Shared && s.at+updateDelayMs <= at }
 	cands := make([]EngineCandidate, r.Engines)
 	addrs := make([]string, r.Engines)
 	for i := range addrs {
 		addrs[i] = fmt.Sprintf("10.0.0.%d:80", i)
 	}
-	affinities := PreferenceWeights(fmt.Sprint(r.rng.Uint64()), addrs)
+	weights := PreferenceWeights(fmt.Sprint(r.rng.Uint64()), addrs)
 	for i := range cands {
 		running := 0
 		for _, s := range r.sent {
@@ -101,8 +102,8 @@
 				running++
 			}
 		}
-		cands[i] = EngineCandidate{AcceptsCalls: true, Backlog: r.queue(at, i, known) / float64(r.Prompt), Running: running, Preference: affinities[i], Jitter: r.rng.Float64()}
-		if i < r.Troubled {
+		cands[i] = EngineCandidate{AcceptsCalls: true, Backlog: r.queue(at, i, known) / float64(r.Prompt), Running: running, Preference: weights[i], Jitter: r.rng.Float64()}
+		if i < r.Outage {
 			cands[i].ZoneOutage = 1
 		}
 	}
@@ -123,11 +124,11 @@
 	return max(0, tokens-prefillTokensPerMs*float64(at-last))
 }
 
-// sentToTroubled returns the number of attempts at engines in the failed zone.
-func (r *loadRun) sentToTroubled() int {
+// sentToOutage returns the number of attempts at engines in the failed zone.
+func (r *loadRun) sentToOutage() int {
 	n := 0
 	for _, s := range r.sent {
-		if s.engine < r.Troubled {
+		if s.engine < r.Outage {
 			n++
 		}
 	}
@@ -141,9 +142,9 @@
 	count := map[int]int{}
 	for i := range 600 {
 		subject := fmt.Sprint("subject-", i)
-		h := PreferenceWeights(subject, addrs)
+		weights := PreferenceWeights(subject, addrs)
 		first := -1
-		for j, v := range h {
+		for j, v := range weights {
 			if v == 1 {
 				first = j
 			}
@@ -171,9 +172,9 @@
 				addrs[i] = fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250)
 			}
 			for b.Loop() {
-				affinities := PreferenceWeights("5c1e07a2", addrs)
+				weights := PreferenceWeights("5c1e07a2", addrs)
 				for i := range cands {
-					cands[i] = EngineCandidate{AcceptsCalls: true, Backlog: float64(i), Preference: affinities[i]}
+					cands[i] = EngineCandidate{AcceptsCalls: true, Backlog: float64(i), Preference: weights[i]}
 				}
 				Pick(cands, Engines{}, 0)
 			}
