--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -13,8 +13,8 @@
 //	Completed   new version                             (final)
 //	RolledBack  old version                             (final)
 //
-// A call goes to a version that is not preferred if no target of a preferred version takes
-// it, but never to a version that was rolled back. Moving gives the calls at the old
+// A call goes to another version than the selected one if no target of the selected version
+// takes it, but never to a version that was rolled back. Moving gives the calls at the old
 // targets time to end, since these targets stop when the order is completed.
 //
 // Every instance applies the canary share to its own calls, so the operator's bound on the
--- a/rollout/placement.go
+++ b/rollout/placement.go
@@ -8,9 +8,9 @@
 const (
 	// Never: the call must not be sent to the target.
 	Never Use = iota
-	// Spare: the call may be sent to the target if no preferred target takes it.
+	// Spare: the call may be sent to the target if no selected target takes it.
 	Spare
-	// Selected: the call goes to one of these targets if possible.
+	// Selected: the call goes to one of the selected targets if possible.
 	Selected
 )
 
@@ -26,7 +26,7 @@
 	}
 
 	// Placement says which versions a call may be sent to at the moment. The zero value
-	// prefers all.
+	// selects all.
 	Placement struct {
 		to     string
 		state  State
@@ -36,13 +36,13 @@
 )
 
 // AssignRole decides whether a new call on a route becomes a canary call.
-func (t *Tracker) AssignRole(name, route string) CallRole {
+func (t *Tracker) AssignRole(serviceName, route string) CallRole {
 	if !t.Active() {
 		return CallRole{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(name)
+	s := t.service(serviceName)
 	if !s.isRollingOut() {
 		return CallRole{}
 	}
@@ -56,15 +56,15 @@
 
 // Sent records an attempt at a target of a version. Attempts at the new version that
 // are not the first of a canary call are charged to the canary budget.
-func (t *Tracker) Sent(name, version string, role CallRole, isRetry bool) {
+func (t *Tracker) Sent(serviceName, version string, role CallRole, isRetry bool) {
 	if !t.Active() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(name)
-	drawn := role.canary && role.order == s.order.ID && !isRetry
-	if s.isRollingOut() && version == s.order.To && !drawn {
+	s := t.service(serviceName)
+	isFirstCanaryAttempt := role.canary && role.order == s.order.ID && !isRetry
+	if s.isRollingOut() && version == s.order.To && !isFirstCanaryAttempt {
 		s.calls.OtherNew++
 		s.budget.chargeCall()
 	}
@@ -86,13 +86,13 @@
 }
 
 // Place returns which versions a call may be sent to now.
-func (t *Tracker) Place(name string, role CallRole, now clock.Time) Placement {
+func (t *Tracker) Place(serviceName string, role CallRole, now clock.Time) Placement {
 	if !t.Active() {
 		return Placement{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(name)
+	s := t.service(serviceName)
 	p := Placement{to: s.wantedVersion(), state: s.effectiveState(), canary: role.canary && role.order == s.order.ID}
 	for version, since := range s.firstSeen {
 		if p.to == "" && since.Sub(s.firstSeen[s.firstVersion]) > initialDiscovery && now.Sub(since) < newVersionHold {
@@ -106,10 +106,10 @@
 }
 
 // IsNewVersion reports whether the service is being moved to the version.
-func (t *Tracker) IsNewVersion(name, version string) bool {
+func (t *Tracker) IsNewVersion(serviceName, version string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(name)
+	s := t.service(serviceName)
 	return s.isRollingOut() && version == s.order.To
 }
 
@@ -142,12 +142,13 @@
 	case p.state == RolledBack:
 		return Selected
 	case p.state == Moving || p.state == Completed || p.IsCanary():
-		return preferIf(isNew)
+		return selectIf(isNew)
 	}
-	return preferIf(!isNew)
+	return selectIf(!isNew)
 }
 
-func preferIf(yes bool) Use {
+// selectIf returns Selected or Spare.
+func selectIf(yes bool) Use {
 	if yes {
 		return Selected
 	}
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -119,6 +119,7 @@
 // Active reports whether roll-outs restrict any call.
 func (t *Tracker) Active() bool { return t.active.Load() }
 
+// service returns the state of a service, which it adds if it is new; t.mu is held.
 func (t *Tracker) service(name string) *service {
 	if t.services == nil {
 		t.services = map[string]*service{}
@@ -131,7 +132,7 @@
 	return s
 }
 
-// updateActive recomputes b.active; b.mu is held.
+// updateActive recomputes t.active; t.mu is held.
 func (t *Tracker) updateActive() {
 	active := false
 	for _, s := range t.services {
@@ -141,10 +142,10 @@
 }
 
 // RecordVersion records that a target of a version was discovered.
-func (t *Tracker) RecordVersion(name, version string, now clock.Time) {
+func (t *Tracker) RecordVersion(serviceName, version string, now clock.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(name)
+	s := t.service(serviceName)
 	if s.firstVersion == "" {
 		s.firstVersion = version
 	}
@@ -222,15 +223,15 @@
 
 // Withdraw records that the operator has withdrawn the order for a service. The order is
 // rolled back unless its state is final.
-func (t *Tracker) Withdraw(name string) {
+func (t *Tracker) Withdraw(serviceName string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(name)
+	s := t.service(serviceName)
 	if s.order.ID == 0 || s.status.State.Final() {
 		return
 	}
 	s.rollBackDue = true
-	t.Log.Warn().Str("service", name).Int64("order", s.order.ID).Msg("rollout: order withdrawn; the version is rolled back")
+	t.Log.Warn().Str("service", serviceName).Int64("order", s.order.ID).Msg("rollout: order withdrawn; the version is rolled back")
 }
 
 // Status applies a status from the store. It ignores statuses of earlier orders and
@@ -305,10 +306,10 @@
 // RelativeTime returns the time of an answer to a plain call relative to the old version's
 // baseline, or 0 if there are too few samples. An answer of the old version is then added
 // to the baseline.
-func (t *Tracker) RelativeTime(name, route, version string, took time.Duration) float64 {
+func (t *Tracker) RelativeTime(serviceName, route, version string, took time.Duration) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service(name)
+	s := t.service(serviceName)
 	base := s.baselines[route]
 	ratio := 0.0
 	if base.samples >= minBaselineSamples {
@@ -327,9 +328,9 @@
 	b.mean += (float64(took) - b.mean) / float64(min(b.samples, baselineWindow))
 }
 
-// IsSlowFirstEvent reports whether a first event is slow; times is its time relative to the
+// IsSlowFirstEvent reports whether a first event is slow, by its time relative to the
 // expected time.
-func IsSlowFirstEvent(times float64) bool { return times > slowFirstEventFactor }
+func IsSlowFirstEvent(relativeTime float64) bool { return relativeTime > slowFirstEventFactor }
 
-// IsSlow reports whether an answer is slow; times is its time relative to the baseline.
-func IsSlow(times float64) bool { return times > slowFactor }
+// IsSlow reports whether an answer is slow, by its time relative to the baseline.
+func IsSlow(relativeTime float64) bool { return relativeTime > slowFactor }
