--- a/poison/bystanders_test.go
+++ b/poison/bystanders_test.go
@@ -79,18 +79,18 @@
 	for _, c := range cases.Load[scenario](t, "testdata/bystanders.yaml") {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			lostAttempts, blamed := 0, 0
+			lostAttempts, attributions := 0, 0
 			for seed := range uint64(simulations) {
 				sim := &simulation{scenario: c, rng: rand.New(rand.NewPCG(seed, 1)), crashesByRequest: map[string]int{}}
-				m, b := sim.run(t)
-				lostAttempts, blamed = lostAttempts+m, blamed+b
+				lost, attributed := sim.run(t)
+				lostAttempts, attributions = lostAttempts+lost, attributions+attributed
 				assert.Len(t, sim.crashesByRequest, c.Poison)
 				for name, n := range sim.crashesByRequest {
 					assert.True(t, sim.tracker.Status(fingerprintOf(name), sim.clock()).Quarantined, name)
 					assert.LessOrEqual(t, n, minCrashThreshold+maxLateCrashes, name)
 				}
 			}
-			t.Logf("%d attempts of bystanders lost their targets, %d of these crashes were attributed to their requests", lostAttempts, blamed)
+			t.Logf("%d attempts of bystanders lost their targets, %d of these crashes were attributed to their requests", lostAttempts, attributions)
 		})
 	}
 }
@@ -99,7 +99,7 @@
 
 // run returns how many attempts of bystanders were lost, and how many of these losses
 // were attributed to their requests.
-func (sim *simulation) run(t *testing.T) (lostAttempts, blamed int) {
+func (sim *simulation) run(t *testing.T) (lostAttempts, attributions int) {
 	for i := range sim.Targets {
 		sim.targets = append(sim.targets, simulatedTarget{zone: i % sim.Zones})
 	}
@@ -107,10 +107,10 @@
 		sim.startStreams()
 		sim.injectFailures()
 		sim.advance()
-		m, b := sim.failOver(t)
-		lostAttempts, blamed = lostAttempts+m, blamed+b
+		lost, attributed := sim.failOver(t)
+		lostAttempts, attributions = lostAttempts+lost, attributions+attributed
 	}
-	return lostAttempts, blamed
+	return lostAttempts, attributions
 }
 
 // occurs draws whether an event of this rate occurs in the current tick.
@@ -201,9 +201,9 @@
 	return sim.targets[s.target].boot != s.boot
 }
 
-// failOver sends the streams that lost their targets to other targets, unless they are
-// quarantined. It returns the same counts as run.
-func (sim *simulation) failOver(t *testing.T) (lostAttempts, blamed int) {
+// failOver sends the streams that lost their targets to other targets, unless their
+// requests are quarantined. It returns the counts of run for one tick.
+func (sim *simulation) failOver(t *testing.T) (lostAttempts, attributions int) {
 	streams := sim.streams
 	sim.streams = nil
 	for _, s := range streams {
@@ -226,7 +226,7 @@
 		if !s.isPoison {
 			lostAttempts++
 			if attributed {
-				blamed++
+				attributions++
 			}
 			if quarantined {
 				t.Errorf("%s is quarantined at %v", s.name, sim.now)
@@ -236,7 +236,7 @@
 			sim.send(s)
 		}
 	}
-	return lostAttempts, blamed
+	return lostAttempts, attributions
 }
 
 // bootOf returns the boot that an attempt was sent to.
--- a/poison/losses.go
+++ b/poison/losses.go
@@ -54,6 +54,7 @@
 	t.losses.add(l, now)
 }
 
+// add adds a loss unless that of the same boot is already known.
 func (ls *lossTable) add(l Loss, now clock.Time) {
 	ls.prune(now)
 	for _, o := range ls.entries {
@@ -75,7 +76,7 @@
 
 // independentRate returns the recent losses per target and second of a service, without
 // losses in an outage and those that are attributed to a request.
-func (ls *lossTable) independentRate(service string, isBlamed func(ragworthitch.Boot) bool, now clock.Time) float64 {
+func (ls *lossTable) independentRate(service string, isAttributed func(ragworthitch.Boot) bool, now clock.Time) float64 {
 	ls.prune(now)
 	independent, targets := 0, 1
 	for i, l := range ls.entries {
@@ -83,19 +84,19 @@
 			continue
 		}
 		targets = max(1, l.Targets)
-		if !isBlamed(l.Boot) && !ls.isInOutage(i) {
+		if !isAttributed(l.Boot) && !ls.isInOutage(i) {
 			independent++
 		}
 	}
 	return float64(independent) / float64(targets) / lossWindow.Seconds()
 }
 
-// isInOutage reports whether the loss was part of a zone outage.
-func (ls *lossTable) isInOutage(index int) bool {
+// isInOutage reports whether the loss at an index was part of a zone outage.
+func (ls *lossTable) isInOutage(lossIndex int) bool {
 	others := 0
 	for i, o := range ls.entries {
-		interval := math.Abs(float64(o.at - ls.entries[index].at))
-		if i != index && o.Zone == ls.entries[index].Zone && interval < float64(OutageWindow) {
+		interval := math.Abs(float64(o.at - ls.entries[lossIndex].at))
+		if i != lossIndex && o.Zone == ls.entries[lossIndex].Zone && interval < float64(OutageWindow) {
 			others++
 		}
 	}
--- a/poison/rows.go
+++ b/poison/rows.go
@@ -64,7 +64,7 @@
 	return out, t.crashLog.total
 }
 
-// queueEdit queues a write to the store; b.mu is held.
+// queueEdit queues a write to the store; t.mu is held.
 func (t *Tracker) queueEdit(e Edit) {
 	t.pendingEdits = append(t.pendingEdits, e)
 	if t.editQueued != nil {
@@ -141,7 +141,7 @@
 		case r.Deleted:
 			t.applyDeletion(r.RowKey)
 		default:
-			if t.record(r.Crash, SourceStore, now) {
+			if t.addCrash(r.Crash, SourceStore, now) {
 				t.crashLog.add(r.Crash)
 			}
 		}
@@ -149,7 +149,7 @@
 	t.evaluate(now)
 }
 
-// applyProbeRow applies the row that counts a request's probes; b.mu is held.
+// applyProbeRow applies the row that counts a request's probes; t.mu is held.
 func (t *Tracker) applyProbeRow(r Row, now clock.Time) {
 	s := t.suspects[r.Fingerprint]
 	if s == nil || r.Deleted {
@@ -161,7 +161,7 @@
 	s.probeRowVersion = max(s.probeRowVersion, r.Version)
 }
 
-// applyDeletion removes a crash whose row was deleted from the store; b.mu is held.
+// applyDeletion removes a crash whose row was deleted from the store; t.mu is held.
 func (t *Tracker) applyDeletion(k RowKey) {
 	s := t.suspects[k.Fingerprint]
 	if s == nil || s.crashes[k.Boot] == nil || !s.crashes[k.Boot].stored {
--- a/poison/successes.go
+++ b/poison/successes.go
@@ -32,6 +32,8 @@
 
 func (c *successCounter) shard(f Fingerprint) *successShard { return &c.shards[f[0]%successShards] }
 
+// add counts a successful attempt of a request, unless the request is new and its shard
+// is full.
 func (c *successCounter) add(f Fingerprint, now clock.Time) {
 	s := c.shard(f)
 	s.mu.Lock()
--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -89,7 +89,7 @@
 		service         string
 		crashes         map[ragworthitch.Boot]*crashRecord
 		quarantined     bool
-		threshold       int   // crashes that were needed for the quarantine
+		threshold       int   // crashes that quarantine the request, at the last evaluation
 		probes          int   // since the quarantine
 		probeRowVersion int64 // of the store's row that counts the probes; 0: no row
 		updatedAt       clock.Time
@@ -246,7 +246,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.record(c, source, now) {
+	if !t.addCrash(c, source, now) {
 		return false
 	}
 	t.crashLog.add(c)
@@ -256,7 +256,7 @@
 }
 
 // storeCrashes queues the crashes that this instance observed, and that count, for the
-// store; b.mu is held.
+// store; t.mu is held.
 func (t *Tracker) storeCrashes(s *suspect) {
 	for _, c := range s.countedCrashes() {
 		if c.observedHere && !c.storeQueued && len(s.crashes) <= maxStoredCrashes {
@@ -266,8 +266,8 @@
 	}
 }
 
-// record adds a crash and reports whether it was unknown; b.mu is held.
-func (t *Tracker) record(c Crash, source Source, now clock.Time) bool {
+// addCrash adds a crash and reports whether it was unknown; t.mu is held.
+func (t *Tracker) addCrash(c Crash, source Source, now clock.Time) bool {
 	if t.released[c.Fingerprint].boots[c.Boot] {
 		return false
 	}
@@ -306,7 +306,7 @@
 	}
 }
 
-// recordRelease keeps the known crashes of a suspect from counting again; b.mu is held.
+// recordRelease keeps the known crashes of a suspect from counting again; t.mu is held.
 func (t *Tracker) recordRelease(s *suspect, now clock.Time) {
 	if t.released == nil || len(t.released) >= maxSuspects {
 		t.released = map[Fingerprint]release{}
@@ -322,7 +322,7 @@
 }
 
 // clear stops tracking a suspect, and deletes its rows in the store if dropRows
-// is set; b.mu is held.
+// is set; t.mu is held.
 func (t *Tracker) clear(s *suspect, cause string, dropRows bool) {
 	delete(t.suspects, s.print)
 	t.suspectCount.Store(int32(len(t.suspects)))
@@ -338,11 +338,11 @@
 
 // evaluate decides which suspects are quarantined. It starts with the suspects that have
 // the most crashes: a target's crash is not attributed to a request if a quarantined request
-// with more crashes ran there too. b.mu is held.
+// with more crashes ran there too. t.mu is held.
 func (t *Tracker) evaluate(now clock.Time) {
 	var ranked []countedSuspect
 	quarantinedByOrg := map[string]int{}
-	blamed := map[ragworthitch.Boot]bool{}
+	attributedBoots := map[ragworthitch.Boot]bool{}
 	for _, s := range t.suspects {
 		crashes := s.countedCrashes()
 		ranked = append(ranked, countedSuspect{s, crashes})
@@ -350,7 +350,7 @@
 			quarantinedByOrg[s.org]++
 		}
 		for _, c := range crashes {
-			blamed[c.Boot] = true
+			attributedBoots[c.Boot] = true
 		}
 	}
 	slices.SortFunc(ranked, func(x, y countedSuspect) int {
@@ -358,7 +358,7 @@
 	})
 	maxCrashesByBoot := map[ragworthitch.Boot]int{} // the most crashes of any quarantined request that ran there
 	for _, s := range ranked {
-		threshold := crashThreshold(t.losses.independentRate(s.service, func(boot ragworthitch.Boot) bool { return blamed[boot] }, now))
+		threshold := crashThreshold(t.losses.independentRate(s.service, func(boot ragworthitch.Boot) bool { return attributedBoots[boot] }, now))
 		if quarantinedByOrg[s.org] >= strictOrgQuarantines {
 			threshold = 1
 		}
@@ -392,7 +392,7 @@
 	return n
 }
 
-// setQuarantined quarantines or releases a suspect and logs the change; b.mu is held.
+// setQuarantined quarantines or releases a suspect and logs the change; t.mu is held.
 func (t *Tracker) setQuarantined(s *suspect, quarantined bool, now clock.Time) {
 	if quarantined == s.quarantined {
 		return
@@ -437,7 +437,7 @@
 	return true
 }
 
-// recordProbe counts a probe; b.mu is held.
+// recordProbe counts a probe; t.mu is held.
 func (t *Tracker) recordProbe(s *suspect, count int, row int64, now clock.Time) {
 	s.probes, s.probeRowVersion, s.updatedAt = count, max(s.probeRowVersion, row), now
 	t.incCounter("poison_trials")
@@ -446,7 +446,7 @@
 }
 
 // evictFor evicts suspects until there is room for one more of an organisation, and
-// deletes their rows in the store if dropRows is set; b.mu is held.
+// deletes their rows in the store if dropRows is set; t.mu is held.
 func (t *Tracker) evictFor(org string, dropRows bool) {
 	if t.suspects == nil {
 		t.suspects = map[Fingerprint]*suspect{}
@@ -465,7 +465,7 @@
 	}
 }
 
-// evictionCandidate returns the suspect to evict among those that match; b.mu is held.
+// evictionCandidate returns the suspect to evict among those that match; t.mu is held.
 func (t *Tracker) evictionCandidate(match func(*suspect) bool) *suspect {
 	var out *suspect
 	for _, s := range t.suspects {
--- a/poison/tracker_test.go
+++ b/poison/tracker_test.go
@@ -172,7 +172,7 @@
 }
 
 // Crashes are reported to peers once, and not once they don't count any more.
-func TestSince(t *testing.T) {
+func TestCrashesSince(t *testing.T) {
 	var tracker Tracker
 	tracker.RecordCrash(crashOf("a", "t1"), SourceOwn, 1)
 	tracker.RecordCrash(crashOf("b", "t1"), SourcePeer, 1)
