--- a/rehearse/rehearse.go
+++ b/rehearse/rehearse.go
@@ -106,7 +106,7 @@
 
 	// simulationRun is a running simulation.
 	simulationRun struct {
-		play          Simulation
+		config        Simulation
 		rng           *rand.Rand
 		now           time.Duration
 		instances     []*instance
@@ -141,7 +141,7 @@
 
 // Run runs a simulation.
 func Run(s Simulation) Result {
-	run := &simulationRun{play: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), load: map[string]int{}}
+	run := &simulationRun{config: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), load: map[string]int{}}
 	for i := range s.Instances {
 		run.instances = append(run.instances, run.newInstance(i))
 	}
@@ -166,8 +166,8 @@
 
 func (run *simulationRun) newInstance(i int) *instance {
 	n := &instance{storeLag: time.Duration(run.rng.Int64N(int64(maxLag)))}
-	n.tracker = rollout.Tracker{Share: run.play.Share, Slack: run.play.Slack, Self: rollout.Writer{Node: fmt.Sprint(i)}, Random: run.rng.Float64,
-		Instances: func() (int, bool) { return run.play.Instances, true }}
+	n.tracker = rollout.Tracker{Share: run.config.Share, Slack: run.config.Slack, Self: rollout.Writer{Node: fmt.Sprint(i)}, Random: run.rng.Float64,
+		Instances: func() (int, bool) { return run.config.Instances, true }}
 	n.tracker.MarkStatusesRead()
 	n.keeper = rollout.Keeper{Tracker: &n.tracker, Store: store{run}, ObserveTargets: run.observe,
 		Turn: func(string) time.Duration { return min(time.Duration(i)*rollout.TurnInterval, rollout.MaxTurn) }}
@@ -180,16 +180,16 @@
 
 // observe returns what every instance sees of the targets.
 func (run *simulationRun) observe(string, string) rollout.TargetCounts {
-	ready := run.play.Targets
-	if run.isWithin(run.play.TargetLosses) {
-		ready -= run.play.Targets / 3
+	ready := run.config.Targets
+	if run.isWithin(run.config.TargetLosses) {
+		ready -= run.config.Targets / 3
 	}
-	return rollout.TargetCounts{Old: run.play.Targets, New: run.play.Targets, NewReady: ready, OldLoad: run.load[""], NewLoad: run.load[newVersion]}
+	return rollout.TargetCounts{Old: run.config.Targets, New: run.config.Targets, NewReady: ready, OldLoad: run.load[""], NewLoad: run.load[newVersion]}
 }
 
 // startCalls starts the calls of a step.
 func (run *simulationRun) startCalls() {
-	for range run.drawPoisson(run.play.Rate * step.Seconds()) {
+	for range run.drawPoisson(run.config.Rate * step.Seconds()) {
 		run.startCall(run.rng.IntN(len(run.instances)), run.drawRoute())
 	}
 }
@@ -203,14 +203,14 @@
 }
 
 func (run *simulationRun) drawRoute() string {
-	names := make([]string, 0, len(run.play.Routes))
-	for r := range run.play.Routes {
+	names := make([]string, 0, len(run.config.Routes))
+	for r := range run.config.Routes {
 		names = append(names, r)
 	}
 	slices.Sort(names)
 	at := run.rng.Float64()
 	for _, r := range names {
-		if at -= run.play.Routes[r]; at < 0 {
+		if at -= run.config.Routes[r]; at < 0 {
 			return r
 		}
 	}
@@ -233,20 +233,20 @@
 // send makes an attempt of a call at a random target of its version.
 func (run *simulationRun) send(c *call, role rollout.CallRole, isRetry bool) {
 	run.instances[c.instance].tracker.Sent(service, c.version, role, isRetry)
-	target := run.rng.IntN(run.play.Targets)
+	target := run.rng.IntN(run.config.Targets)
 	if c.version == newVersion {
-		target = run.rng.IntN(max(3, run.play.Targets/5))
+		target = run.rng.IntN(max(3, run.config.Targets/5))
 	}
-	c.target, c.targetLost = fmt.Sprint(c.version, target), run.isWithin(run.play.TargetLosses) && target%3 == 0
+	c.target, c.targetLost = fmt.Sprint(c.version, target), run.isWithin(run.config.TargetLosses) && target%3 == 0
 	c.badness = run.drawBadness(c, target)
-	slow := 1.0
+	slowdown := 1.0
 	if c.badness == Slow {
-		slow = 4
+		slowdown = 4
 	}
-	c.judgedAt = run.now + time.Duration(slow*float64(run.play.TimeToJudge))
-	c.endsAt = run.now + time.Duration(slow*float64(run.play.Length))
+	c.judgedAt = run.now + time.Duration(slowdown*float64(run.config.TimeToJudge))
+	c.endsAt = run.now + time.Duration(slowdown*float64(run.config.Length))
 	run.load[c.version]++
-	if run.now >= orderAt && run.now < orderAt+run.play.Duration {
+	if run.now >= orderAt && run.now < orderAt+run.config.Duration {
 		run.result.Attempts++
 		if c.version == newVersion {
 			run.result.Exposed++
@@ -259,7 +259,7 @@
 
 // drawBadness draws the fault of a call's answer.
 func (run *simulationRun) drawBadness(c *call, target int) Badness {
-	s := run.play
+	s := run.config
 	switch {
 	case run.rng.Float64() < s.BaselineBadShare, s.FaultyEvery > 0 && target%s.FaultyEvery == 0 && run.rng.Float64() < 0.5:
 		return Failing
@@ -314,7 +314,7 @@
 func (run *simulationRun) deliverUpdates() {
 	for _, u := range run.updates {
 		for i, n := range run.instances {
-			if u.delivered[i] || run.now < u.writtenAt+n.storeLag || run.isWithin(run.play.StoreOutages) {
+			if u.delivered[i] || run.now < u.writtenAt+n.storeLag || run.isWithin(run.config.StoreOutages) {
 				continue
 			}
 			u.delivered[i] = true
@@ -334,7 +334,7 @@
 // WriteStatus writes a status under its condition.
 func (s store) WriteStatus(_ context.Context, c rollout.Change) (rollout.Status, error) {
 	run := s.run
-	if run.isWithin(run.play.StoreOutages) {
+	if run.isWithin(run.config.StoreOutages) {
 		return rollout.Status{}, errStoreUnavailable
 	}
 	if c.If != run.status.Row {
@@ -352,7 +352,7 @@
 // WriteEvidence writes evidence.
 func (s store) WriteEvidence(_ context.Context, e rollout.Evidence) error {
 	run := s.run
-	if run.isWithin(run.play.StoreOutages) {
+	if run.isWithin(run.config.StoreOutages) {
 		return errStoreUnavailable
 	}
 	run.updates = append(run.updates, update{writtenAt: run.now, evidence: &e, delivered: make([]bool, len(run.instances))})
--- a/rehearse/rehearse_test.go
+++ b/rehearse/rehearse_test.go
@@ -61,10 +61,11 @@
 	return out
 }
 
-func (s scenario) toPlay(instances int, seed uint64) Simulation {
+func (s scenario) simulation(instances int, seed uint64) Simulation {
 	return Simulation{Instances: instances, Rate: s.Rate, Routes: map[string]float64{"plan": 0.06, "check": 0.94},
 		TimeToJudge: 1700 * time.Millisecond, Length: 5 * time.Second, Duration: seconds(s.DurationS), Targets: 102,
-		Badness: s.Badness, BadShare: s.Part, BadAfter: seconds(s.AfterS), Load: s.Load, BadRoute: s.BadRoute, BaselineBadShare: s.OldBad, FaultyEvery: s.FaultyEvery,
+		Badness: s.Badness, BadShare: s.Part, BadAfter: seconds(s.AfterS), Load: s.Load, BadRoute: s.BadRoute,
+		BaselineBadShare: s.OldBad, FaultyEvery: s.FaultyEvery,
 		TargetLosses: intervals(s.TargetLosses), StoreOutages: intervals(s.StoreOutages), Share: 0.1, Slack: 50, Seed: seed}
 }
 
@@ -128,6 +129,8 @@
 	maxLastAfter             time.Duration
 }
 
+// runScenarios runs the included cases of testdata/rollouts.yaml, and check for each number
+// of instances of a case.
 func runScenarios(t *testing.T, include func(scenario) bool, check func(*testing.T, scenario, int, summary)) {
 	b, err := os.ReadFile("testdata/rollouts.yaml")
 	require.NoError(t, err)
@@ -162,7 +165,7 @@
 		want, opposite = opposite, want
 	}
 	for seed := range o.draws {
-		r := Run(s.toPlay(instances, uint64(seed)))
+		r := Run(s.simulation(instances, uint64(seed)))
 		if r.State == want && r.At <= seconds(s.DurationS) {
 			o.right++
 			if seed < fixed {
