--- a/pace/engine.go
+++ b/pace/engine.go
@@ -62,6 +62,7 @@
 	}
 }
 
+// decayedLongest returns longest as decayed until now, in ms; e.mu is held.
 func (e *Engine) decayedLongest(now clock.Time) float64 {
 	if e.longest == 0 {
 		return 0
@@ -76,8 +77,8 @@
 	return fromMs(e.decayedLongest(now))
 }
 
-// MeasuredInterval returns the event interval that this instance has measured; 0 without
-// recent samples.
+// MeasuredInterval returns the event interval that this instance has measured; 0
+// without recent samples.
 func (e *Engine) MeasuredInterval(now clock.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,7 +88,7 @@
 	return fromMs(e.interval.value())
 }
 
-// AddReport adds a peer's report of the engine's event interval.
+// AddReport adds the report of the peer node about the engine's event interval.
 func (e *Engine) AddReport(node string, interval time.Duration, now clock.Time) {
 	if interval <= 0 {
 		return
@@ -105,8 +106,8 @@
 	e.reports[node] = report{intervalMs: inMs(interval), at: now}
 }
 
-// EventInterval returns the expected event interval without other prefills at the engine:
-// the weighted geometric mean of own samples, peers' reports and the service's
+// EventInterval returns the expected event interval without other prefills at the
+// engine: the weighted geometric mean of own samples, peers' reports and the service's
 // usual interval; 0 if all three are unknown.
 func (e *Engine) EventInterval(usualInterval time.Duration, now clock.Time) time.Duration {
 	e.mu.Lock()
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -19,12 +19,13 @@
 // engineKind holds the true figures of a kind of engine.
 type engineKind struct {
 	Name      string
-	GapMs     float64 `yaml:"gapMs"`
-	ReadPerMs float64 `yaml:"readPerMs"`
-	FirstMs   float64 `yaml:"firstMs"`
+	GapMs     float64 `yaml:"gapMs"`     // event interval
+	ReadPerMs float64 `yaml:"readPerMs"` // prompt tokens that a prefill processes in 1 ms
+	FirstMs   float64 `yaml:"firstMs"`   // rest of the time to a first event
 }
 
-// timeToFirstEvent returns the time to a first event after a prefill of so many tokens.
+// timeToFirstEvent returns the time to a first event after a prefill of the given number
+// of tokens.
 func (k engineKind) timeToFirstEvent(tokens int) time.Duration {
 	return fromMs(float64(tokens)/k.ReadPerMs + k.FirstMs + k.GapMs)
 }
@@ -41,7 +42,7 @@
 }
 
 // Guards against estimates that depend on the kind of engine.
-func TestLearnsKinds(t *testing.T) {
+func TestLearnsEngineKinds(t *testing.T) {
 	for _, k := range cases.Load[engineKind](t, "testdata/engines.yaml") {
 		t.Run(k.Name, func(t *testing.T) {
 			var e Engine
--- a/pace/service.go
+++ b/pace/service.go
@@ -51,8 +51,8 @@
 	s.interval.add(inMs(interval), 0.5, slowStep)
 }
 
-// EventInterval returns the usual event interval without other prefills at the engine; 0 if
-// unknown. It equals Pace().EventInterval and is cheaper.
+// EventInterval returns the usual event interval without other prefills at the engine;
+// 0 if unknown. The result equals Pace().EventInterval and is cheaper to get.
 func (s *Service) EventInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,8 +66,8 @@
 	s.prompt.add(float64(promptTokens), 0.5, slowStep)
 }
 
-// AddFirstEvent adds the time to a first event at an engine with the given event interval,
-// after a prefill of so many tokens without other prompts waiting.
+// AddFirstEvent adds the time to a first event at an engine with the given event
+// interval, after a prefill of the given number of tokens while no other prompt waited.
 func (s *Service) AddFirstEvent(took time.Duration, tokens int, interval time.Duration) {
 	if tokens <= 0 || interval <= 0 {
 		return
@@ -88,8 +88,8 @@
 	s.spread.add(float64(took)/float64(expected), spreadQuantile, fastStep)
 }
 
-// AddAnswer adds a complete answer: its number of events, the maximum number, and the
-// last attempt's duration from its first event to its last and number of events.
+// AddAnswer adds a complete answer of events out of at most maxEvents. Its last attempt
+// had attemptEvents events, with duration between the first and the last of them.
 func (s *Service) AddAnswer(events, maxEvents int64, duration time.Duration, attemptEvents int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,14 +114,14 @@
 	return p
 }
 
-// PrefillTime returns the time of a prefill of so many tokens at an engine with the
-// given event interval; 0 if unknown.
+// PrefillTime returns the time of a prefill of the given number of tokens at an engine
+// with the given event interval; 0 if unknown.
 func (p Pace) PrefillTime(tokens int, interval time.Duration) time.Duration {
 	return time.Duration(float64(tokens) * p.PrefillRatio * float64(interval))
 }
 
-// TimeToFirstEvent returns the expected time to the first event at an engine with the given
-// event interval and so many prompt tokens to prefill; 0 if unknown.
+// TimeToFirstEvent returns the expected time to the first event at an engine with the
+// given event interval and number of prompt tokens to prefill; 0 if unknown.
 func (p Pace) TimeToFirstEvent(tokens int, interval time.Duration) time.Duration {
 	if p.PrefillRatio == 0 {
 		return 0
--- a/pace/services.go
+++ b/pace/services.go
@@ -8,7 +8,7 @@
 	byName map[string]*Service
 }
 
-// Of returns the estimates of a service.
+// Of returns the estimates of the named service, which are created at the first call.
 func (s *Services) Of(name string) *Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
