--- a/health/health.go
+++ b/health/health.go
@@ -19,12 +19,13 @@
 	minEjection = 800 * time.Millisecond
 	maxEjection = 4 * time.Second
 
-	// recentFailure is how long a failure counts as recent. Recent failures are evidence
-	// of a zone outage; registrations of crashed targets expire about as late.
+	// recentFailure is the age up to which a failure counts as recent. Recent failures
+	// are evidence of a zone outage; registrations of crashed targets expire about as
+	// late.
 	recentFailure = 4 * time.Second
 
-	// recentContact is how long an answer or event is evidence that the target serves.
-	// It exceeds the time for which a prefill or two stall an engine's streams.
+	// recentContact is the age up to which an answer or event is evidence that the target
+	// serves. It exceeds the time for which a prefill or two stall an engine's streams.
 	recentContact = 1500 * time.Millisecond
 
 	// errorHalfLife is the time in which the error rate decays to half, so that a
@@ -51,9 +52,9 @@
 		mu                  sync.Mutex
 		ejectedUntil        clock.Time
 		consecutiveFailures int
-		failedAt            clock.Time
-		servedAt            clock.Time // time of the last data or successful answer
-		checking            bool
+		failedAt            clock.Time    // start of the last ejection
+		servedAt            clock.Time    // time of the last data or successful answer
+		checking            bool          // a connection check is in progress
 		nextFailure         chan struct{} // closed when the target fails; nil until NextFailure is called
 
 		errorRate   float64 // share of failed calls; decays
@@ -70,8 +71,8 @@
 }
 
 // Failed ejects a target that doesn't serve, longer after each further failure,
-// and closes the channel that NextFailure returned. It returns the remaining time of the
-// ejection.
+// and closes the channel that NextFailure returned. It returns the remaining time of
+// the ejection.
 func (s *State) Failed(now clock.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -10,6 +10,7 @@
 	"github.com/ragworthitch/ragworthitch/rwtest/cases"
 )
 
+// at returns the time s seconds after the start of a case.
 func at(s float64) clock.Time {
 	return clock.Time(100*time.Second) + clock.Time(s*float64(time.Second))
 }
--- a/health/links.go
+++ b/health/links.go
@@ -12,7 +12,7 @@
 	// stallHalfLife is the time in which the weight of a stall decays to half. Lossy
 	// links recover within seconds.
 	stallHalfLife = 2 * time.Second
-	// certainWeight is the weight of stalls from which packet loss is certain.
+	// certainWeight is the weight of stalls at and above which packet loss is certain.
 	certainWeight = 1.5
 )
 
@@ -24,6 +24,7 @@
 		zones map[string]*link
 	}
 
+	// link holds the recent stalls on the link to one zone.
 	link struct {
 		stalls float64    // weight of the stalls; decays
 		at     clock.Time // time of the last stall
