--- a/cachelocation/spans.go
+++ b/cachelocation/spans.go
@@ -28,10 +28,10 @@
 
 	// Span holds the locations of one time range.
 	Span struct {
-		Row         int // number of its row
+		Row         int // number of the stored row, from 0 to Rows-1
 		Locations   []Location
 		rangeNumber int64 // the range starts at rangeNumber * spanLength
-		saved       int   // number of saved Locations
+		saved       int   // number of Locations that are saved, from the first on
 	}
 )
 
@@ -42,9 +42,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	number := int64(now) / int64(spanLength)
-	if len(s.recent) == 0 || s.recent[len(s.recent)-1].rangeNumber != number {
-		s.recent = append(s.recent, &Span{rangeNumber: number, Row: int(number % int64(Rows))})
+	rangeNumber := int64(now) / int64(spanLength)
+	if len(s.recent) == 0 || s.recent[len(s.recent)-1].rangeNumber != rangeNumber {
+		s.recent = append(s.recent, &Span{rangeNumber: rangeNumber, Row: int(rangeNumber % int64(Rows))})
 		s.recent = s.recent[max(0, len(s.recent)-Rows):] // older spans have expired
 	}
 	last := s.recent[len(s.recent)-1]
--- a/cachelocation/spans_test.go
+++ b/cachelocation/spans_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// makeLocations returns the locations of the subjects from..to-1.
 func makeLocations(from, to int) []Location {
 	var out []Location
 	for i := from; i < to; i++ {
--- a/cachelocation/table.go
+++ b/cachelocation/table.go
@@ -26,7 +26,7 @@
 type (
 	// Location is the cache location of a prompt.
 	Location struct {
-		Subject string            // last part of the prompt, which identifies the prompt
+		Subject string            // last part of the prompt; identifies the prompt
 		Engine  ragworthitch.Boot // a later boot of the engine has an empty cache
 	}
 
@@ -39,6 +39,7 @@
 		observed  uint64     // number of locations that this instance has observed
 	}
 
+	// location is the engine that holds the KV cache of a prompt.
 	location struct {
 		engine     ragworthitch.Boot
 		recordedAt clock.Time
@@ -94,8 +95,8 @@
 	return known.engine, true
 }
 
-// RecordedSince returns the locations that this instance observed after its first n, as
-// far as they are kept, and their total number.
+// RecordedSince returns the locations that RecordOwn recorded after the first n, at most
+// the last maxUpdates of them, and the number that RecordOwn has recorded in all.
 func (t *Table) RecordedSince(n uint64) ([]Location, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cachelocation/table_test.go
+++ b/cachelocation/table_test.go
@@ -41,7 +41,7 @@
 }
 
 // Guards against unbounded memory and against dropping the newest location.
-func TestBounded(t *testing.T) {
+func TestTableBounded(t *testing.T) {
 	var table Table
 	for i := range 10 * maxLocations {
 		now := start.Add(time.Duration(i) * time.Millisecond)
