--- a/registry/boots.go
+++ b/registry/boots.go
@@ -10,7 +10,7 @@
 
 const (
 	// staleRegistrationAge is how long a stale registration counts as evidence against
-	// others of its service and zone; it equals the age of a recent failure.
+	// others of its service and zone. It equals health's recentFailure.
 	staleRegistrationAge = 4 * time.Second
 
 	// maxEndedBoots limits the targets whose ended boots are recorded. After an
@@ -111,9 +111,9 @@
 	return slices.DeleteFunc(times, func(at clock.Time) bool { return now.Sub(at) > staleRegistrationAge })
 }
 
-// StaleRegistrations returns the number of recently found stale registrations of a service
-// in a zone. Targets of a zone are replaced together, so the zone's other registrations
-// are probably stale as well while the store is unavailable.
+// StaleRegistrations returns the number of recently found stale registrations of a
+// service in a zone. Targets of a zone are replaced together, so the zone's other
+// registrations are probably stale as well while the store is unavailable.
 func (r *Registry) StaleRegistrations(service, zone string, now clock.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/registry/clock_test.go
+++ b/registry/clock_test.go
@@ -20,6 +20,8 @@
 	os.Exit(m.Run())
 }
 
+// heartbeatOf returns the registration that the boot which started at a time writes as
+// its sequence-th.
 func heartbeatOf(started, sequence int64) ragworthitch.Target {
 	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "a", Service: "desk", Address: "10.0.0.1:80", Started: started, Sequence: sequence})
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -332,7 +332,7 @@
 	m.conns.Close()
 }
 
-// ByAddress returns the target that now has an address, or nil.
+// ByAddress returns the target with the given address, or nil.
 func (r *Registry) ByAddress(addr string) *Member {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -386,14 +386,15 @@
 	return r.services[name]
 }
 
-// ByID returns the target that now has an id, or nil.
+// ByID returns the known boot of the target with the given id, or nil.
 func (r *Registry) ByID(id string) *Member {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.byID[id]
 }
 
-// Boot returns a boot of a target, or nil if it isn't the known one.
+// Boot returns the member of boot b, or nil if its target is unknown or known with
+// another boot.
 func (r *Registry) Boot(b ragworthitch.Boot) *Member {
 	if m := r.ByID(b.ID()); m != nil && m.Target().Boot() == b {
 		return m
@@ -412,7 +413,7 @@
 	return out
 }
 
-// ForgetPeer drops the load that an instance has reported.
+// ForgetPeer drops the load that a peer has reported.
 func (r *Registry) ForgetPeer(node string) {
 	for _, m := range r.All() {
 		m.work.SetPeer(node, Load{})
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -37,7 +37,7 @@
 
 // Guards against dropping all targets while the store is unavailable, and against
 // keeping targets whose registrations don't return.
-func TestVanish(t *testing.T) {
+func TestRegistrationVanishes(t *testing.T) {
 	var r Registry
 	r.Put(newTarget("a", "10.0.0.1:80", false), 0)
 	r.Put(newTarget("b", "10.0.0.2:80", false), 0)
@@ -65,11 +65,11 @@
 	assert.Equal(t, Load{Prefill: 8000, Running: 1, Tokens: 14000}, w.Own())
 	assert.Equal(t, Load{Prefill: 8100, Running: 3, Tokens: 14300}, w.All())
 	assert.Len(t, r.Busy(), 1)
-	edits := r.WorkChanges()
+	changes := r.WorkChanges()
 	started()
 	started() // no effect
 	assert.Equal(t, Load{Running: 1, Tokens: 14000}, w.Own())
-	assert.Greater(t, r.WorkChanges(), edits)
+	assert.Greater(t, r.WorkChanges(), changes)
 	end()
 	drop()
 	assert.Equal(t, Load{}, w.Own())
@@ -92,7 +92,8 @@
 	assert.Len(t, r.Service("llm"), 1)
 }
 
-func newBoot(id, addr string, started int64) ragworthitch.Target {
+// newStartedTarget returns the registration of a target's boot that started at a time.
+func newStartedTarget(id, addr string, started int64) ragworthitch.Target {
 	return ragworthitch.NewTarget(ragworthitch.TargetParams{ID: id, Started: started, Service: "llm", Address: addr})
 }
 
@@ -101,12 +102,12 @@
 // earlier boot.
 func TestRestartUnderOneID(t *testing.T) {
 	var r Registry
-	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 100), 10))
+	assert.Equal(t, Added, r.Put(newStartedTarget("a", "10.0.0.1:80", 100), 10))
 	old := r.ByID("a")
 	old.Health().Failed(now)
 	old.Work().Begin(8000, 9000)
 	old.Work().SetPeer("n2", Load{Running: 2})
-	assert.Equal(t, Restarted, r.Put(newBoot("a", "10.0.0.1:80", 200), 10))
+	assert.Equal(t, Restarted, r.Put(newStartedTarget("a", "10.0.0.1:80", 200), 10))
 	m := r.ByID("a")
 	require.NotSame(t, old, m)
 	assert.NotSame(t, old.Conns(), m.Conns())
@@ -118,20 +119,20 @@
 	assert.Len(t, r.Service("llm"), 1)
 	assert.Nil(t, r.Boot(old.Target().Boot()))
 
-	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 10), "a late registration of the earlier boot")
+	assert.Equal(t, Ignored, r.Put(newStartedTarget("a", "10.0.0.1:80", 100), 10), "a late registration of the earlier boot")
 	assert.Same(t, m, r.ByID("a"))
 	r.Unregister("a", now, now)
-	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 10), "a registration of an ended boot")
-	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 200), 10), "an expired registration returns")
+	assert.Equal(t, Ignored, r.Put(newStartedTarget("a", "10.0.0.1:80", 100), 10), "a registration of an ended boot")
+	assert.Equal(t, Added, r.Put(newStartedTarget("a", "10.0.0.1:80", 200), 10), "an expired registration returns")
 }
 
 // Guards against rejecting the next boot under the id of an ended one.
 func TestMismatchEndsOneBoot(t *testing.T) {
 	var r Registry
-	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
+	r.Put(newStartedTarget("a", "10.0.0.1:80", 100), 0)
 	r.EndMismatched(ragworthitch.NewBoot("a", 100), now)
-	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 100), 0))
-	assert.Equal(t, Added, r.Put(newBoot("a", "10.0.0.1:80", 200), 0))
+	assert.Equal(t, Ignored, r.Put(newStartedTarget("a", "10.0.0.1:80", 100), 0))
+	assert.Equal(t, Added, r.Put(newStartedTarget("a", "10.0.0.1:80", 200), 0))
 	r.EndMismatched(ragworthitch.NewBoot("a", 100), now) // about the earlier boot, late
 	assert.NotNil(t, r.ByID("a"))
 }
@@ -139,9 +140,9 @@
 // Guards against connections to an address that the target has left.
 func TestAddressChanges(t *testing.T) {
 	var r Registry
-	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
+	r.Put(newStartedTarget("a", "10.0.0.1:80", 100), 0)
 	old := r.ByID("a")
-	r.Put(newBoot("a", "10.0.0.2:80", 100), 0)
+	r.Put(newStartedTarget("a", "10.0.0.2:80", 100), 0)
 	assert.True(t, old.Lost(time.UnixMilli(200)), "an attempt at the old address can't run at the new one")
 	assert.Equal(t, "10.0.0.2:80", r.ByID("a").Conns().Addr())
 	assert.Nil(t, r.ByAddress("10.0.0.1:80"))
@@ -151,8 +152,8 @@
 // from another writer.
 func TestUnreadableRegistration(t *testing.T) {
 	var r Registry
-	r.Put(newBoot("a", "10.0.0.1:80", 100), 0)
-	r.Put(newBoot("b", "10.0.0.2:80", 100), 0)
+	r.Put(newStartedTarget("a", "10.0.0.1:80", 100), 0)
+	r.Put(newStartedTarget("b", "10.0.0.2:80", 100), 0)
 	m := r.ByID("a")
 	assert.True(t, r.Unreadable("a"))
 	assert.False(t, r.Unreadable("a"), "no change")
@@ -160,24 +161,24 @@
 	assert.False(t, m.AcceptsCalls(now))
 	assert.True(t, r.ByID("b").AcceptsCalls(now))
 	assert.NoError(t, m.Life().Err(), "running calls continue")
-	assert.Equal(t, Known, r.Put(newBoot("a", "10.0.0.1:80", 100), 0))
+	assert.Equal(t, Known, r.Put(newStartedTarget("a", "10.0.0.1:80", 100), 0))
 	assert.True(t, m.AcceptsCalls(now))
-	assert.Equal(t, Ignored, r.Put(newBoot("a", "10.0.0.1:80", 0), 0))
+	assert.Equal(t, Ignored, r.Put(newStartedTarget("a", "10.0.0.1:80", 0), 0))
 	assert.False(t, m.AcceptsCalls(now))
-	assert.Equal(t, Ignored, r.Put(newBoot("c", "10.0.0.2:80", 0), 0), "another writer registers a target's address")
+	assert.Equal(t, Ignored, r.Put(newStartedTarget("c", "10.0.0.2:80", 0), 0), "another writer registers a target's address")
 	assert.True(t, r.ByID("b").AcceptsCalls(now))
 }
 
 // Guards against unbounded memory for ended boots, and against evicting the ended
 // boots of known targets.
-func TestEndedBounded(t *testing.T) {
+func TestEndedBootsBounded(t *testing.T) {
 	var r Registry
-	r.Put(newBoot("live", "10.0.0.1:80", 100), 0)
+	r.Put(newStartedTarget("live", "10.0.0.1:80", 100), 0)
 	for i := range 2 * maxEndedBoots {
 		r.EndMismatched(ragworthitch.NewBoot(fmt.Sprint(i), 1), now)
 	}
 	assert.LessOrEqual(t, len(r.ended), maxEndedBoots)
-	assert.Equal(t, Ignored, r.Put(newBoot("live", "10.0.0.1:80", 99), 0))
+	assert.Equal(t, Ignored, r.Put(newStartedTarget("live", "10.0.0.1:80", 99), 0))
 }
 
 // Guards against taking a changed list of services for a new boot.
--- a/registry/work.go
+++ b/registry/work.go
@@ -30,8 +30,8 @@
 // Prefilling reports whether a prefill is known to run at the target.
 func (l Load) Prefilling() bool { return l.Prefill+l.YieldingPrefill > 0 }
 
-// Begin adds a call with a prompt to prefill and the memory that it takes, both in
-// tokens. The caller calls started at the first event and end at the end.
+// Begin adds a call with a prompt to prefill, and the memory that the call takes, both
+// in tokens. The caller calls started at the first event and end when the call ends.
 func (w *Work) Begin(prompt, tokens int) (started, end func()) {
 	return w.begin(Load{Prefill: prompt}, tokens)
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// AddReplica adds a replica of so many tokens at the target; drop removes it.
+// AddReplica adds a replica of the given size in tokens; drop removes the replica.
 func (w *Work) AddReplica(tokens int) (drop func()) {
 	w.change(Load{Tokens: tokens})
 	return func() { w.change(Load{Tokens: -tokens}) }
