--- a/desired/tracker.go
+++ b/desired/tracker.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	// ErrStateUnknown means that this instance has read no desired state yet or that
-	// its last verification is too old. The call was not run and may be retried.
+	// ErrStateUnknown means that this instance has read no desired state yet, or verified
+	// the state too long ago. The call was not run and may be retried.
 	ErrStateUnknown = errors.New("desired: state in force not known")
 	// ErrNoRoute means that no route matches the call.
 	ErrNoRoute = errors.New("desired: no such route")
@@ -25,7 +25,7 @@
 )
 
 type (
-	// Tracker holds the newest desired state that this instance has read. Make one with
+	// Tracker holds the newest desired state that this instance has read. Create it with
 	// NewTracker.
 	Tracker struct {
 		ages       Ages
@@ -65,15 +65,15 @@
 func (t *Tracker) Apply(d *ragworthitch.DesiredState) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if cur := t.current.Load(); cur != nil && d.Version() <= cur.state.Version() {
+	if current := t.current.Load(); current != nil && d.Version() <= current.state.Version() {
 		return false
 	}
 	t.current.Store(newTable(d))
 	return true
 }
 
-// MarkVerified records that the applied state was the newest one at a time: the start of
-// a read of the store that succeeded.
+// MarkVerified records that the applied state was the newest one at a time: the start
+// of a read of the store that succeeded.
 func (t *Tracker) MarkVerified(at clock.Time) {
 	for {
 		old := t.verifiedAt.Load()
@@ -137,8 +137,8 @@
 	return g, nil
 }
 
-// rejection returns err, or ErrStateUnknown if the verification is too old for a final
-// rejection: a newer version may allow the call.
+// rejection returns err, or ErrStateUnknown if the state was verified too long ago for
+// a final rejection: a newer version may allow the call.
 func (t *Tracker) rejection(age time.Duration, err error) error {
 	if age > t.ages.Reject {
 		return ErrStateUnknown
--- a/desired/tracker_test.go
+++ b/desired/tracker_test.go
@@ -39,6 +39,7 @@
 	}
 )
 
+// state returns the desired state that s describes.
 func (s stateSpec) state(t testing.TB) *ragworthitch.DesiredState {
 	p := ragworthitch.DesiredParams{Version: s.Version, Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: "s"})}}
 	for _, r := range s.Routes {
@@ -66,7 +67,7 @@
 					tracker.Apply(s.Apply.state(t))
 				case s.Judge != nil:
 					g, err := tracker.Judge(at(s.Judge.At), s.Judge.Host, s.Judge.Path, s.Judge.Key, 0)
-					assert.Equal(t, s.Judge.Want, verdict(g, err), "step %d", i)
+					assert.Equal(t, s.Judge.Want, outcome(g, err), "step %d", i)
 					assert.Equal(t, s.Judge.Org, g.Org, "step %d", i)
 				default:
 					tracker.MarkVerified(at(s.Verified))
@@ -76,7 +77,8 @@
 	}
 }
 
-func verdict(g Grant, err error) string {
+// outcome returns the result of Judge in the notation of the test cases.
+func outcome(g Grant, err error) string {
 	switch {
 	case errors.Is(err, ErrStateUnknown):
 		return "unknown"
