--- a/discovery/changelog.go
+++ b/discovery/changelog.go
@@ -40,6 +40,7 @@
 	}
 )
 
+// add adds a change of a target to the targets with the same kind of change.
 func (l *changeLog) add(change targetChange, target ragworthitch.Target) {
 	if l.targets == nil {
 		l.targets = map[targetChange][]ragworthitch.Target{}
@@ -72,6 +73,7 @@
 	*l = changeLog{}
 }
 
+// message returns the text of the change's log line.
 func (c targetChange) message(knownText, goneText string) string {
 	if c.outcome == outcomeGone {
 		return "discovery: " + goneText
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -51,8 +51,8 @@
 	ReadResult[T any] struct {
 		Rows    []T
 		Version int64
-		// Relayed is set if another instance read the rows from the store. AsOf
-		// and UnavailableAt are only set then.
+		// Relayed is set if another instance read the rows from the store. AsOf and
+		// UnavailableAt are set only if Relayed is.
 		Relayed       bool
 		AsOf          clock.Time // Rows contains all changes up to this time
 		UnavailableAt clock.Time // when the store last failed to answer that instance; 0: never
@@ -64,7 +64,7 @@
 		Read(ctx context.Context) (ReadResult[T], error)
 		// Changes waits for rows that changed after a version, at most for wait.
 		Changes(ctx context.Context, after int64, wait time.Duration) (ReadResult[T], error)
-		// CloseIdleConnections closes idle connections, which may be dead.
+		// CloseIdleConnections closes idle connections, which may be broken.
 		CloseIdleConnections()
 	}
 
@@ -142,7 +142,7 @@
 }
 
 // pollRecovering calls poll and turns a panic into an error, so that a row that makes
-// a decoder or sink panic doesn't crash every instance that reads it.
+// a decoder or sink panic doesn't crash every instance that reads the row.
 func (f *Follower[T]) pollRecovering(ctx context.Context, start clock.Time) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -217,8 +217,8 @@
 }
 
 // callLimits returns the wait to request in the next call and the timeout beyond that
-// wait. The sink's data is as stale as the call is long, so the wait shrinks with the
-// latency of the store, and is zero after a failed call to the store or the relay.
+// wait. The sink's data is as stale as the call is long, so the wait shrinks as the
+// latency of the store grows, and is zero after a failed call to the store or relay.
 func (f *Follower[T]) callLimits() (timeout, wait time.Duration) {
 	if f.failures > 0 {
 		return slowResponseTimeout, 0
--- a/discovery/follow_test.go
+++ b/discovery/follow_test.go
@@ -48,7 +48,7 @@
 func (s *scriptedStore) Changes(ctx context.Context, after int64, _ time.Duration) (ReadResult[int], error) {
 	return s.next(ctx, "changes")
 }
-func (s *scriptedStore) CloseIdleConnections() { s.record("drop") }
+func (s *scriptedStore) CloseIdleConnections() { s.record("close") }
 
 func (s *scriptedStore) Replace(rows []int, _ clock.Time) { s.record("replace"); s.rows = rows }
 func (s *scriptedStore) ApplyChanges(rows []int, _ clock.Time) {
@@ -63,6 +63,7 @@
 	s.events = append(s.events, event)
 }
 
+// returns is an answer with rows, up to a version.
 func returns(version int64, rows ...int) func(context.Context) ([]int, int64, error) {
 	return func(context.Context) ([]int, int64, error) { return rows, version, nil }
 }
@@ -71,11 +72,13 @@
 	return func(context.Context) ([]int, int64, error) { return nil, 0, err }
 }
 
+// neverAnswers is an answer that doesn't arrive before the call's timeout.
 func neverAnswers(ctx context.Context) ([]int, int64, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
+// follow runs a Follower of a store with the given answers until they are used up.
 func follow(t *testing.T, answers ...func(context.Context) ([]int, int64, error)) *scriptedStore {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &scriptedStore{answers: answers, cancel: cancel}
@@ -98,14 +101,14 @@
 	s := follow(t, failsWith(errUnavailable), returns(1, 10), failsWith(ErrChangesMissed), returns(9, 11, 12), failsWith(errUnavailable), returns(10, 13))
 	assert.Equal(t, []string{"read", "read", "changes", "read", "changes", "changes", "changes"}, s.calls)
 	assert.Equal(t, []int{11, 12, 13}, s.rows)
-	assert.Equal(t, []string{"unavailable", "drop", "unavailable", "replace", "replace", "unavailable", "drop", "unavailable", "change"}, s.events, "the store counts as unavailable until it answers again")
+	assert.Equal(t, []string{"unavailable", "close", "unavailable", "replace", "replace", "unavailable", "close", "unavailable", "change"}, s.events, "the store counts as unavailable until it answers again")
 }
 
 // A call without an answer is abandoned soon after the requested wait.
 func TestAbandonsUnansweredCall(t *testing.T) {
 	s := follow(t, returns(1, 10), neverAnswers, returns(2, 20))
 	assert.Equal(t, []int{10, 20}, s.rows)
-	assert.Contains(t, s.events, "drop")
+	assert.Contains(t, s.events, "close")
 }
 
 // A follower with AwaitsRecovery stops polling after two failed calls until another
--- a/discovery/recovery.go
+++ b/discovery/recovery.go
@@ -10,15 +10,15 @@
 // store before it polls the store itself.
 const maxRecoveryWait = 2 * time.Second
 
-// RecoverySignal tells the followers of a store that a call to the store succeeded. While
-// the store is unavailable, one follower polls and the others wait for the signal, since
-// rejected calls are billed too. The zero value is ready to use.
+// RecoverySignal tells the followers of a store that a call to the store succeeded.
+// While the store is unavailable, one follower polls and the others wait for the
+// signal, since rejected calls are billed too. The zero value is ready to use.
 type RecoverySignal struct {
 	mu        sync.Mutex
 	recovered chan struct{} // closed at the next successful call; nil: nobody waits
 }
 
-// broadcast wakes all waiting followers.
+// broadcast wakes all waiting followers after a successful call.
 func (s *RecoverySignal) broadcast() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/discovery/relay_test.go
+++ b/discovery/relay_test.go
@@ -12,8 +12,8 @@
 	"github.com/ragworthitch/ragworthitch/clock"
 )
 
-// scriptedRelay is a Relay with scripted answers; without any left, it reports itself
-// unusable.
+// scriptedRelay is a Relay with scripted answers. After the last answer, ShouldAsk
+// returns false.
 type scriptedRelay struct {
 	answers []func() (ReadResult[int], error)
 	calls   []string
@@ -80,8 +80,8 @@
 	})
 }
 
-// While the store is unavailable, a follower polls at its maximum backoff, and reaches the
-// store within that delay, plus jitter, once it is available again.
+// While the store is unavailable, a follower polls at its maximum backoff. When the store
+// is available again, the follower reaches it within that delay, plus jitter.
 func TestHonoursMaxBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const maxDelay, outage = time.Second, 8 * time.Second
--- a/discovery/sinks.go
+++ b/discovery/sinks.go
@@ -62,8 +62,8 @@
 		Order *OrderRow
 	}
 
-	// InstanceSink applies the rows of instances to the peers, crash records and
-	// roll-outs. OnRead is called after each read of the whole table.
+	// InstanceSink applies the rows of instances to Exchange, PoisonTracker and Rollouts.
+	// OnRead is called after each read of the whole table.
 	InstanceSink struct {
 		Exchange      *exchange.Exchange
 		PoisonTracker *poison.Tracker
@@ -71,15 +71,14 @@
 		OnRead        func()
 	}
 
-	// OperatorSink applies desired states to Desired and orders to Rollouts.
+	// OperatorSink applies desired states to DesiredState and orders to Rollouts.
 	OperatorSink struct {
 		DesiredState *desired.Tracker
 		Rollouts     *rollout.Tracker
 		Log          zerolog.Logger
 	}
 
-	// TargetSink applies targets' entries to a Registry. Make one with
-	// NewTargetSink.
+	// TargetSink applies targets' entries to a Registry. Create it with NewTargetSink.
 	TargetSink struct {
 		targets      *registry.Registry
 		desiredState *desired.Tracker
@@ -130,7 +129,7 @@
 	}
 }
 
-// MarkUnavailable does nothing: Desired tracks the age of its state.
+// MarkUnavailable does nothing: DesiredState tracks the age of the state itself.
 func (s OperatorSink) MarkUnavailable(clock.Time) {}
 
 // Replace applies the whole table.
