--- a/instance/crashes.go
+++ b/instance/crashes.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// crashWriteTimeout bounds a write of crash records, and crashRetryDelay follows a
-	// failed write. Records that are not written are known to the running instances,
-	// but not to those that start later.
+	// crashWriteTimeout bounds a write of crash records or of the claim of a probe, and
+	// crashRetryDelay follows a failed write of records. Records that are not written are
+	// known to the running instances, but not to those that start later.
 	crashWriteTimeout    = 400 * time.Millisecond
 	crashRetryDelay      = 200 * time.Millisecond
 	maxCrashBatch        = 20 // edits in one write
--- a/instance/follow.go
+++ b/instance/follow.go
@@ -20,14 +20,16 @@
 	// old: the wait of the last call and the wait of the call in progress.
 	maxDesiredWait      = 800 * time.Millisecond
 	desiredWaitFraction = 0.16
+	// targetWait is how long a call waits for changes of targets.
+	targetWait = 2 * time.Second
 	// targetPollInterval batches the targets' heartbeats: each target writes its
 	// entry every 1.2 s.
-	targetWait         = 2 * time.Second
 	targetPollInterval = 400 * time.Millisecond
-	// peerWait is long because entries of instances rarely change, and instances
-	// also report crashes to each other directly. The number of instances is up to
-	// two waits old at the instance that reads the store and three at the others,
-	// half of what the retry budget allows (budget.staleAfter).
+	// peerWait is how long a call waits for changes of the table of instances. The wait
+	// is long because entries of instances rarely change, and instances also report
+	// crashes to each other directly. The number of instances is up to two waits old at
+	// the instance that reads the store and three at the others, half of what the retry
+	// budget allows (budget.staleAfter).
 	peerWait         = 4 * time.Second
 	peerPollInterval = time.Second
 	// Tables are reread in case the store lost a change without an error. The
@@ -49,8 +51,8 @@
 // caches returns the tables that this instance can serve to its peers, by name.
 func (i *Instance) caches() map[string]*relay.Cache {
 	bothDeleted := func(a, b platform.StoredRow) bool { return a.Deleted && b.Deleted }
-	newCache := func(same func(a, b platform.StoredRow) bool, wait time.Duration) *relay.Cache {
-		return relay.NewCache(same, wait)
+	newCache := func(unchanged func(a, b platform.StoredRow) bool, wait time.Duration) *relay.Cache {
+		return relay.NewCache(unchanged, wait)
 	}
 	return map[string]*relay.Cache{
 		platform.TableOperator:  newCache(bothDeleted, min(i.relayWait(), i.desiredWait())),
@@ -62,19 +64,20 @@
 // relayWait returns how long a call waits for changes if this instance reads the store
 // for its peers.
 func (i *Instance) relayWait() time.Duration {
-	bounds := i.s.Bounds()
+	bounds := i.settings.Bounds()
 	return min(max(minRelayWait, scale(relayWaitFraction, min(bounds.Config, bounds.Drain))), maxRelayWait)
 }
 
+// desiredWait returns how long a call to the store waits for a new desired state.
 func (i *Instance) desiredWait() time.Duration {
-	return min(maxDesiredWait, scale(desiredWaitFraction, i.s.Bounds().Revoke))
+	return min(maxDesiredWait, scale(desiredWaitFraction, i.settings.Bounds().Revoke))
 }
 
 func (i *Instance) isDraining() bool { return i.handler.Draining() }
 
 // reachablePeers returns the peers that this instance can read tables from.
 func (i *Instance) reachablePeers() []exchange.Peer {
-	if i.s.Internal() == "" {
+	if i.settings.Internal() == "" {
 		return nil // peers connect only through internal addresses
 	}
 	return i.peers.Peers()
@@ -83,7 +86,7 @@
 // followTables starts the followers of the operator's, the targets' and the instances'
 // tables.
 func (i *Instance) followTables(p *pool.ContextPool) {
-	peerSelector := relay.NewPeerSelector(i.s.Node(), i.s.Zone(), i.reachablePeers)
+	peerSelector := relay.NewPeerSelector(i.settings.Node(), i.settings.Zone(), i.reachablePeers)
 	storeReader := func(table string) relay.StoreReader {
 		return relay.StoreReader{Store: i.store, Cache: i.relay.Tables[table]}
 	}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -39,8 +39,8 @@
 const (
 	// Fractions of the operator's bounds that the age of the desired state may
 	// use up; the rest covers network latency and slow machines.
-	denyAgeFraction = 0.95
-	keyAgeFraction  = 0.8
+	rejectAgeFraction = 0.95
+	keyAgeFraction    = 0.8
 	// readyAgeFraction of the time within which a revoked key has to be rejected
 	// is the maximum age of the desired state at a ready instance. It is below
 	// keyAgeFraction, so that the load balancer moves callers to other instances
@@ -69,51 +69,51 @@
 	drainMargin = 300 * time.Millisecond
 )
 
-// Instance is an entry instance. Make one with New.
+// Instance is an entry instance. Create it with New.
 type Instance struct {
-	s              platform.Settings
+	settings       platform.Settings
 	log            zerolog.Logger
 	store          *platform.Store
 	desiredState   *desired.Tracker
 	targets        registry.Registry
 	cacheLocations cachelocation.Table
 	handler        *ingress.Handler
-	peers          *exchange.Exchange
+	peers          *exchange.Exchange // known peers and views sent to them
 	callServer     *http.Server
 	metrics        http.Handler
 	unreadable     *platform.UnreadableRows
 	recovery       discovery.RecoverySignal
 	relay          *relay.Server
 	budget         *budget.Budget
-	locations      locationBuffer
+	locations      locationBuffer // cache locations to write to the store
 	poisonTracker  poison.Tracker
 	rollouts       rollout.Tracker
 	startedAt      clock.Time
-	bodyMemory     *admit.Memory
-	targetsRead    atomic.Bool // the table of targets has been read
-	instancesRead  atomic.Bool // the table of instances, with crash records, has been read
+	bodyMemory     *admit.Memory // limit on the bodies of calls in progress
+	targetsRead    atomic.Bool   // the table of targets has been read
+	instancesRead  atomic.Bool   // the table of instances, with crash records, has been read
 }
 
 // New returns an instance with the platform's settings. metrics is served on
 // the internal address; nil: not at all.
-func New(s platform.Settings, log zerolog.Logger, scope tally.Scope, metrics http.Handler) *Instance {
-	if s.Memory() > 0 {
-		debug.SetMemoryLimit(int64(heapFraction * float64(s.Memory())))
+func New(settings platform.Settings, log zerolog.Logger, scope tally.Scope, metrics http.Handler) *Instance {
+	if settings.Memory() > 0 {
+		debug.SetMemoryLimit(int64(heapFraction * float64(settings.Memory())))
 	}
-	bounds := s.Bounds()
-	i := &Instance{startedAt: clock.Now(), s: s, log: log, store: platform.NewStore(s.Store()), metrics: metrics, unreadable: platform.NewUnreadableRows(log, scope),
-		desiredState: desired.NewTracker(desired.Ages{Reject: scale(denyAgeFraction, bounds.Config), Key: scale(keyAgeFraction, bounds.Revoke)})}
-	i.bodyMemory = admit.NewMemory(int64(bodyFraction * float64(s.Memory())))
+	bounds := settings.Bounds()
+	i := &Instance{startedAt: clock.Now(), settings: settings, log: log, store: platform.NewStore(settings.Store()), metrics: metrics, unreadable: platform.NewUnreadableRows(log, scope),
+		desiredState: desired.NewTracker(desired.Ages{Reject: scale(rejectAgeFraction, bounds.Config), Key: scale(keyAgeFraction, bounds.Revoke)})}
+	i.bodyMemory = admit.NewMemory(int64(bodyFraction * float64(settings.Memory())))
 	i.poisonTracker.Log, i.poisonTracker.Scope = log, scope
 	i.rollouts.Log, i.rollouts.Share = log, bounds.CanaryShare
 	i.rollouts.Slack, i.rollouts.Instances = bounds.CanarySlack, i.instanceCount
-	i.rollouts.Self = rollout.Writer{Node: s.Node(), Started: time.Now().UnixMilli()}
-	i.peers = exchange.New(s.Node(), s.Zone(), &i.targets, &i.cacheLocations, &i.poisonTracker, log)
+	i.rollouts.Self = rollout.Writer{Node: settings.Node(), Started: time.Now().UnixMilli()}
+	i.peers = exchange.New(settings.Node(), settings.Zone(), &i.targets, &i.cacheLocations, &i.poisonTracker, log)
 	i.locations.cacheLocations = &i.cacheLocations
 	i.relay = &relay.Server{Tables: i.caches(), Draining: i.isDraining, SaveLocations: i.locations.addFromPeer, Log: log}
 	i.budget = budget.New(budget.Limit{Ratio: bounds.BudgetRatio, Extra: bounds.BudgetExtra, Window: bounds.BudgetWindow}, i.peers.InstanceCount)
-	borrower := &lend.Borrower{Zone: s.Zone(), Peers: i.peers.Peers, Budget: i.budget, Log: log}
-	i.handler = ingress.New(ingress.Config{Zone: s.Zone(), DesiredState: i.desiredState, Targets: &i.targets, CacheLocations: &i.cacheLocations, RetryBudget: i.budget, BorrowRetries: borrower.Borrow,
+	borrower := &lend.Borrower{Zone: settings.Zone(), Peers: i.peers.Peers, Budget: i.budget, Log: log}
+	i.handler = ingress.New(ingress.Config{Zone: settings.Zone(), DesiredState: i.desiredState, Targets: &i.targets, CacheLocations: &i.cacheLocations, RetryBudget: i.budget, BorrowRetries: borrower.Borrow,
 		Sender: platform.Sender{}, Ready: i.Ready, NotifyPeers: i.peers.SendNow, PoisonTracker: &i.poisonTracker, Rollouts: &i.rollouts, ClaimProbe: i.claimProbe, Log: log, Scope: scope})
 	return i
 }
@@ -125,19 +125,19 @@
 // Ready reports whether the load balancer should send calls to this instance.
 func (i *Instance) Ready() bool {
 	age, ok := i.desiredState.Age(clock.Now())
-	return ok && age <= scale(readyAgeFraction, i.s.Bounds().Revoke) && i.targetsRead.Load() && i.instancesRead.Load() && !i.handler.Draining()
+	return ok && age <= scale(readyAgeFraction, i.settings.Bounds().Revoke) && i.targetsRead.Load() && i.instancesRead.Load() && !i.handler.Draining()
 }
 
 // Run serves until ctx ends, then drains: it returns when the calls in progress
 // have ended or the grace period is nearly over.
 func (i *Instance) Run(ctx context.Context) error {
-	callHandler, err := listen("front", i.s.CallerAddr())
+	callListener, err := listen("front", i.settings.CallerAddr())
 	if err != nil {
 		return err
 	}
-	ready, err := listen("ready", i.s.ReadinessAddr())
+	readinessListener, err := listen("ready", i.settings.ReadinessAddr())
 	if err != nil {
-		callHandler.Close()
+		callListener.Close()
 		return err
 	}
 	lifetime, stop := context.WithCancel(context.Background())
@@ -147,8 +147,8 @@
 	p.Go(i.persistLocations)
 	p.Go(i.persistCrashes)
 	p.Go(i.runRollouts)
-	i.callServer = i.serve(p, callHandler, &platform.CallHandler{Handler: i.handler, Limits: i.limits, Memory: i.bodyMemory, Log: i.log})
-	i.serve(p, ready, platform.Ready(i.Ready))
+	i.callServer = i.serve(p, callListener, &platform.CallHandler{Handler: i.handler, Limits: i.limits, Memory: i.bodyMemory, Log: i.log})
+	i.serve(p, readinessListener, platform.Ready(i.Ready))
 	i.serveInternal(p)
 	p.Go(func(lifetime context.Context) error {
 		select {
@@ -159,8 +159,8 @@
 		}
 		return nil
 	})
-	i.log.Info().Str("front", i.s.CallerAddr()).Str("ready", i.s.ReadinessAddr()).Str("store", i.s.Store()).
-		Str("internal", i.s.Internal()).Msg("instance: started")
+	i.log.Info().Str("front", i.settings.CallerAddr()).Str("ready", i.settings.ReadinessAddr()).Str("store", i.settings.Store()).
+		Str("internal", i.settings.Internal()).Msg("instance: started")
 	if err := p.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
@@ -200,10 +200,10 @@
 
 // serveInternal serves metrics and connections of peers.
 func (i *Instance) serveInternal(p *pool.ContextPool) {
-	if i.s.Internal() == "" {
+	if i.settings.Internal() == "" {
 		return
 	}
-	ln, err := listen("other instances", i.s.Internal())
+	ln, err := listen("other instances", i.settings.Internal())
 	if err != nil {
 		i.log.Warn().Err(err).Msg("instance: cannot listen on the internal address; metrics and peers are not served")
 		return
@@ -222,7 +222,7 @@
 
 // announce writes this instance's entry to the store.
 func (i *Instance) announce(ctx context.Context) error {
-	self := exchange.Peer{Node: i.s.Node(), Zone: i.s.Zone(), Addr: i.s.Internal()}
+	self := exchange.Peer{Node: i.settings.Node(), Zone: i.settings.Zone(), Addr: i.settings.Internal()}
 	for ctx.Err() == nil {
 		writeCtx, cancel := context.WithTimeout(ctx, announceTimeout)
 		err := platform.Announce(writeCtx, i.store, self)
@@ -241,7 +241,7 @@
 // callers can resume at other instances.
 func (i *Instance) drain(lifetime context.Context) {
 	start := clock.Now()
-	grace := i.s.Bounds().Grace
+	grace := i.settings.Bounds().Grace
 	i.handler.Drain(start.Add(grace - drainMargin))
 	i.log.Info().Int("active", i.handler.Active()).Dur("grace", grace).Msg("instance: draining")
 	if !clock.Sleep(lifetime, drainAcceptPeriod) {
--- a/instance/locations.go
+++ b/instance/locations.go
@@ -50,11 +50,11 @@
 	return out, total
 }
 
-// MarkSent records that a peer writes the first total own locations.
-func (b *locationBuffer) MarkSent(total uint64) {
+// MarkSent records that a peer writes the first n own locations.
+func (b *locationBuffer) MarkSent(n uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.assigned, b.handedOverAt = max(b.assigned, total), clock.Now()
+	b.assigned, b.handedOverAt = max(b.assigned, n), clock.Now()
 }
 
 // addFromPeer adds locations that a peer hands over.
@@ -75,8 +75,8 @@
 	b.peerReceivedAt = now
 }
 
-// collectOwn adds the own locations that no peer has taken, unless a peer took some
-// recently.
+// collectOwn adds the own locations that no peer has taken to spans, unless a peer took
+// some recently.
 func (b *locationBuffer) collectOwn(now clock.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,6 +88,7 @@
 	b.assigned = total
 }
 
+// saveDelay returns the time until the next write of locations.
 func (b *locationBuffer) saveDelay(now clock.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +136,7 @@
 func (i *Instance) saveLocations(ctx context.Context, table platform.CacheLocationTable, spans []cachelocation.Span) bool {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	if err := table.Save(ctx, i.s.Node(), spans); err != nil {
+	if err := table.Save(ctx, i.settings.Node(), spans); err != nil {
 		i.log.Warn().Err(err).Int("spans", len(spans)).Msg("instance: cache locations not written; will retry")
 		return false
 	}
--- a/instance/rollouts.go
+++ b/instance/rollouts.go
@@ -12,6 +12,7 @@
 )
 
 const (
+	// rolloutInterval is the time between two steps of the roll-outs.
 	rolloutInterval = 200 * time.Millisecond
 	// rolloutWriteTimeout is longer than a slow store's latency of about a second.
 	rolloutWriteTimeout = 1500 * time.Millisecond
@@ -76,7 +77,7 @@
 // service's roll-out. Instances take turns in the order of rendezvous hashing.
 func (i *Instance) decisionDelay(service string) time.Duration {
 	key := route.Key(service)
-	own, ahead := route.Affinity(key, i.s.Node()), 0
+	own, ahead := route.Affinity(key, i.settings.Node()), 0
 	for _, p := range i.peers.Peers() {
 		if route.Affinity(key, p.Node) > own {
 			ahead++
