--- a/relay/cache.go
+++ b/relay/cache.go
@@ -47,16 +47,16 @@
 
 		mu            sync.Mutex
 		rows          map[string]*cachedRow // by key; nil: the table is not loaded
-		version       int64                 // of the newest write in rows
+		version       int64                 // version up to which the table is complete
 		minVersion    int64                 // peers at an earlier version have to read the whole table
-		asOf          clock.Time            // up to which the table is complete
+		asOf          clock.Time            // time up to which the table is complete
 		unavailableAt clock.Time            // when the store was last unavailable; 0: never
 		failingSince  clock.Time            // first failure since the store last answered; 0: none
 		wantsAsOf     bool                  // peers ask for the table's age
 		hasChanges    bool                  // rows have changed since the last notify
-		questionedAt  clock.Time
-		updated       chan struct{} // closed when an answer may have changed
-		questioned    chan struct{} // closed at the next question, if no peer asks now
+		questionedAt  clock.Time            // time of the last question; 0: none
+		updated       chan struct{}         // closed when an answer may have changed
+		questioned    chan struct{}         // closed at the next question, if no peer asks now
 	}
 
 	// cachedRow holds the newest write of a row.
--- a/relay/cache_test.go
+++ b/relay/cache_test.go
@@ -87,6 +87,8 @@
 	return out
 }
 
+// answeredRows returns the rows of an answer as "key value", or nil if the peer has no
+// answer.
 func answeredRows(a wire.Answer) []string {
 	if a.State != wire.AnswerOK {
 		return nil
--- a/relay/peer_reader.go
+++ b/relay/peer_reader.go
@@ -75,25 +75,25 @@
 	}
 )
 
-// ShouldAsk reports whether the next read asks a peer. It does if there is a peer to ask, no
-// peer asks this instance, and the last question did not fail in a way that only a read
-// from the store resolves.
+// ShouldAsk reports whether the next read asks a peer: there is a peer to ask, no peer
+// asks this instance, and the last question did not fail in a way that only a read from
+// the store resolves.
 func (r *PeerReader) ShouldAsk() bool {
 	now := clock.Now()
 	servesPeers, _ := r.Cache.ServesPeers(now)
 	_, ok := r.Selector.Next(now)
-	use := ok && !servesPeers && !r.forceStore
+	asksPeer := ok && !servesPeers && !r.forceStore
 	r.forceStore = false
-	if use {
+	if asksPeer {
 		r.Cache.Clear()
 	} else if !r.readsStore {
 		r.readsStore = true
 		r.Log.Info().Str("table", r.Table).Bool("asked", servesPeers).Bool("othersKnown", ok).Msg("relay: reading the table from the store")
 	}
-	return use
+	return asksPeer
 }
 
-// ReadAll asks for the whole table, in the range that the peer reads.
+// ReadAll asks for the whole table. The range is ignored: the peer reads its own.
 func (r *PeerReader) ReadAll(ctx context.Context, _ platform.Range) (platform.Page, error) {
 	return r.askNext(ctx, wire.Question{Table: r.Table, Whole: true, WantsAsOf: r.WantsAsOf})
 }
--- a/relay/peer_selector.go
+++ b/relay/peer_selector.go
@@ -46,8 +46,8 @@
 	}
 )
 
-// NewPeerSelector returns the selector of the named instance. peers returns the peers that
-// the instance knows.
+// NewPeerSelector returns the selector of the instance node. peers returns the peers
+// that the instance knows.
 func NewPeerSelector(node, zone string, peers func() []exchange.Peer) *PeerSelector {
 	return &PeerSelector{node: node, zone: zone, peers: peers, backoffs: map[string]peerBackoff{}}
 }
@@ -70,8 +70,8 @@
 }
 
 // ranked returns the instances of the zone, with this one, in the order in which they
-// are asked. The order is the same at all instances, and that of two instances does not
-// depend on the others.
+// are asked. The order is the same at all instances, and whether one instance precedes
+// another does not depend on the rest.
 func (s *PeerSelector) ranked() []exchange.Peer {
 	all := []exchange.Peer{{Node: s.node, Zone: s.zone}}
 	for _, p := range s.peers() {
--- a/relay/server.go
+++ b/relay/server.go
@@ -30,9 +30,9 @@
 	// Draining reports whether this instance is draining. It then answers questions
 	// with AnswerStale, so that peers ask another instance.
 	Draining func() bool
-	// SaveLocations receives the cache locations that peers send along with questions, to
-	// write them to the store; nil: they are dropped.
-	SaveLocations func(places []wire.CacheLocation)
+	// SaveLocations receives the cache locations that peers send along with questions,
+	// to write them to the store; nil: they are dropped.
+	SaveLocations func(locations []wire.CacheLocation)
 	Log           zerolog.Logger
 }
 
--- a/relay/spread_test.go
+++ b/relay/spread_test.go
@@ -67,6 +67,7 @@
 		}
 	}
 
+	// fault is an event of a scenario at the store or at some of the instances.
 	fault struct {
 		Kind  string
 		First int
@@ -247,6 +248,7 @@
 	d.changed = make(chan struct{})
 }
 
+// sameRow reports whether two writes of a row differ in their heartbeat at most.
 func sameRow(a, b platform.StoredRow) bool {
 	x, _, _ := strings.Cut(string(a.Value), ":")
 	y, _, _ := strings.Cut(string(b.Value), ":")
--- a/relay/store_reader.go
+++ b/relay/store_reader.go
@@ -15,7 +15,8 @@
 // peers begin to ask for it.
 var errNotCached = errors.New("relay: table is not cached")
 
-// StoreReader reads a table from the store, and keeps it in Cache while peers ask for it.
+// StoreReader reads a table from the store, and keeps the rows in Cache while peers ask
+// for the table.
 type StoreReader struct {
 	Store platform.Reader
 	Cache *Cache
@@ -35,8 +36,8 @@
 	return p, err
 }
 
-// Changes waits for changed rows. Its error wraps discovery.ErrChangesMissed if peers have
-// begun to ask for the table and the cache does not hold it yet.
+// Changes waits for changed rows. Its error wraps discovery.ErrChangesMissed if peers
+// have begun to ask for the table and the cache does not hold the table yet.
 func (s StoreReader) Changes(ctx context.Context, table string, after int64, wait time.Duration) (platform.Page, error) {
 	start := clock.Now()
 	servesPeers, questioned := s.Cache.ServesPeers(start)
