--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -63,7 +63,7 @@
 		mu        sync.Mutex
 		ctx       context.Context
 		incoming  map[string]*wire.Conn // newest connection that a peer sends views on, by node
-		known     map[string]Peer       // by node
+		known     map[string]Peer       // known peers, by node
 		knownAsOf clock.Time            // time up to which known is complete; 0: not read yet
 		links     map[string]*link      // to the peers that are sent views, by node
 		updated   chan struct{}         // closed when there is something to report at once
@@ -78,7 +78,7 @@
 	// report holds what a peer is sent about the load of this instance at a target.
 	report struct {
 		load          registry.Load
-		eventInterval time.Duration // of streams there; 0: unknown
+		eventInterval time.Duration // of streams at the target; 0: unknown
 	}
 
 	// link sends views to a peer.
@@ -117,10 +117,10 @@
 	e.ctx = ctx
 	e.updateLinks()
 	e.mu.Unlock()
-	edits := uint64(0)
+	reportedChanges := uint64(0)
 	for clock.Sleep(ctx, pollInterval) {
-		if n := e.targets.WorkChanges(); n != edits {
-			edits = n
+		if n := e.targets.WorkChanges(); n != reportedChanges {
+			reportedChanges = n
 			e.SendNow()
 		}
 	}
@@ -275,10 +275,11 @@
 	e.log.Info().Str("peer", node).Msg("exchange: peer disconnected; its load is dropped")
 }
 
+// apply records the cache locations, crashes and loads of a peer's view.
 func (e *Exchange) apply(v wire.View) {
 	now := clock.Now()
-	for _, p := range v.CacheLocations {
-		e.cacheLocations.RecordReport(cachelocation.Location{Subject: p.Subject, Engine: p.Engine}, now)
+	for _, location := range v.CacheLocations {
+		e.cacheLocations.RecordReport(cachelocation.Location{Subject: location.Subject, Engine: location.Engine}, now)
 	}
 	e.applyCrashes(v.Crashes, now)
 	for _, l := range v.Loads {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -20,8 +20,9 @@
 	"github.com/ragworthitch/ragworthitch/wire"
 )
 
-const within = 2 * time.Second
+const maxDelay = 2 * time.Second
 
+// instance is an entry instance that knows one target, i-1.
 type instance struct {
 	targets        registry.Registry
 	cacheLocations cachelocation.Table
@@ -32,6 +33,7 @@
 	srv            *httptest.Server
 }
 
+// start starts an instance that receives views at its addr.
 func start(t *testing.T, name string) *instance {
 	n := &instance{}
 	n.targets.Put(ragworthitch.NewTarget(ragworthitch.TargetParams{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}), 0)
@@ -58,19 +60,19 @@
 	started, end := work.Begin(8000, 9000)
 	a.cacheLocations.RecordOwn(cachelocation.Location{Subject: "5c1e", Engine: ragworthitch.NewBoot("i-1", 0)}, clock.Now())
 	a.ex.SendNow()
-	assert.Eventually(t, func() bool { engine, _ := b.cacheLocations.Find("5c1e", clock.Now()); return engine.ID() == "i-1" }, within, time.Millisecond)
-	assert.Eventually(t, func() bool { return seen.All() == registry.Load{Prefill: 8000, Running: 1, Tokens: 9000} }, within, time.Millisecond)
+	assert.Eventually(t, func() bool { engine, _ := b.cacheLocations.Find("5c1e", clock.Now()); return engine.ID() == "i-1" }, maxDelay, time.Millisecond)
+	assert.Eventually(t, func() bool { return seen.All() == registry.Load{Prefill: 8000, Running: 1, Tokens: 9000} }, maxDelay, time.Millisecond)
 	assert.Equal(t, registry.Load{}, seen.Own())
 	started()
-	assert.Eventually(t, func() bool { return seen.All().Prefill == 0 && seen.All().Running == 1 }, within, time.Millisecond)
+	assert.Eventually(t, func() bool { return seen.All().Prefill == 0 && seen.All().Running == 1 }, maxDelay, time.Millisecond)
 
 	// The instance ends while a second call is in progress.
 	work.Begin(500, 600)
 	a.ex.SendNow()
-	require.Eventually(t, func() bool { return seen.All().Running == 2 }, within, time.Millisecond)
+	require.Eventually(t, func() bool { return seen.All().Running == 2 }, maxDelay, time.Millisecond)
 	end()
 	a.stop()
-	assert.Eventually(t, func() bool { return seen.All() == registry.Load{} }, 2*within, 5*time.Millisecond)
+	assert.Eventually(t, func() bool { return seen.All() == registry.Load{} }, 2*maxDelay, 5*time.Millisecond)
 }
 
 // The load of a peer that has reconnected stays when its old connection ends.
@@ -81,7 +83,7 @@
 		c, err := wire.DialView(t.Context(), b.addr)
 		require.NoError(t, err)
 		require.NoError(t, c.SendView(t.Context(), wire.View{Node: "a", Loads: []wire.TargetLoad{{Target: ragworthitch.NewBoot("i-1", 0), Running: 1}}}))
-		require.Eventually(t, func() bool { return seen.All().Running == 1 }, within, time.Millisecond)
+		require.Eventually(t, func() bool { return seen.All().Running == 1 }, maxDelay, time.Millisecond)
 		return c
 	}
 	old := sendView()
@@ -91,7 +93,7 @@
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, 1, seen.All().Running)
 	renewed.CloseNow()
-	assert.Eventually(t, func() bool { return seen.All().Running == 0 }, within, time.Millisecond)
+	assert.Eventually(t, func() bool { return seen.All().Running == 0 }, maxDelay, time.Millisecond)
 }
 
 // A peer that changes its address is sent views at the new one only.
@@ -99,8 +101,8 @@
 	a, b, c := start(t, "a"), start(t, "b"), start(t, "b")
 	a.targets.ByID("i-1").Work().Begin(10, 20)
 	a.ex.UpdatePeer(exchange.Peer{Node: "b", Addr: b.addr}, false)
-	require.Eventually(t, func() bool { return b.targets.ByID("i-1").Work().All().Running == 1 }, within, time.Millisecond)
+	require.Eventually(t, func() bool { return b.targets.ByID("i-1").Work().All().Running == 1 }, maxDelay, time.Millisecond)
 	a.ex.UpdatePeer(exchange.Peer{Node: "b", Addr: c.addr}, false)
-	assert.Eventually(t, func() bool { return c.targets.ByID("i-1").Work().All().Running == 1 }, within, time.Millisecond)
-	assert.Eventually(t, func() bool { return b.targets.ByID("i-1").Work().All().Running == 0 }, within, time.Millisecond)
+	assert.Eventually(t, func() bool { return c.targets.ByID("i-1").Work().All().Running == 1 }, maxDelay, time.Millisecond)
+	assert.Eventually(t, func() bool { return b.targets.ByID("i-1").Work().All().Running == 0 }, maxDelay, time.Millisecond)
 }
--- a/exchange/peers.go
+++ b/exchange/peers.go
@@ -55,9 +55,9 @@
 	e.knownAsOf = max(e.knownAsOf, at)
 }
 
-// InstanceCount returns the number of entry instances, with this one, and the time up to
-// which the table of instances is known to be complete. ok is false if the table was
-// not read yet. InstanceCount is a budget.InstanceCount.
+// InstanceCount returns the number of entry instances, with this one, and the time up
+// to which the table of instances is known to be complete. ok is false if the table
+// was not read yet. InstanceCount is a budget.InstanceCount.
 func (e *Exchange) InstanceCount() (n int, at clock.Time, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
