--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -55,11 +55,11 @@
 		borrowRetries  func(ctx context.Context, service string)
 		poisonTracker  *poison.Tracker
 		rollouts       *rollout.Tracker
-		claimProbe     func(ctx context.Context, t poison.Probe) bool
+		claimProbe     func(ctx context.Context, p poison.Probe) bool
 		isReady        func() bool
 		links          health.Links  // packet loss on the way to each zone
-		paces          pace.Services // learned speeds of the engines of each service
-		fixedPace      *pace.Pace    // nil: speeds are learned
+		paces          pace.Services // measured pace of the engines of each service
+		fixedPace      *pace.Pace    // nil: the measured pace
 		log            zerolog.Logger
 		stats          stats
 
@@ -80,20 +80,20 @@
 		RetryBudget    *budget.Budget
 		Sender         Sender
 		Engines        EnginePolicy  // nil: route.Engines
-		FixedPace      *pace.Pace    // fixed engine speeds, for comparisons; nil: speeds are learned
+		FixedPace      *pace.Pace    // fixed pace of all services, for comparisons; nil: the measured pace
 		TargetWait     time.Duration // how long an interrupted stream waits for an available target
 		Ready          func() bool   // reports whether this instance serves calls well; nil: always
 		NotifyPeers    func()        // sends this instance's load and reports to its peers; nil: no peers
-		// BorrowRetries requests retries of a service from peers for the retry budget and returns
-		// when the requests have completed; nil: no peers.
+		// BorrowRetries requests retries of a service from peers for the retry budget and
+		// returns when the requests have completed; nil: no peers.
 		BorrowRetries func(ctx context.Context, service string)
 		// PoisonTracker tracks poison requests; nil: a tracker of this handler's own.
 		PoisonTracker *poison.Tracker
 		// Rollouts tracks the roll-outs of services; nil: none.
 		Rollouts *rollout.Tracker
 		// ClaimProbe claims the probe of a quarantined request and reports whether this
-		// instance got it; nil: claims it in Crashes only.
-		ClaimProbe func(ctx context.Context, t poison.Probe) bool
+		// instance got it; nil: claims it in PoisonTracker only.
+		ClaimProbe func(ctx context.Context, p poison.Probe) bool
 		Log        zerolog.Logger
 		Scope      tally.Scope
 	}
@@ -114,7 +114,7 @@
 		cfg.Rollouts = &rollout.Tracker{Log: cfg.Log}
 	}
 	if cfg.ClaimProbe == nil {
-		cfg.ClaimProbe = func(_ context.Context, p poison.Probe) bool { return cfg.PoisonTracker.Claim(p, 0, clock.Now()) }
+		cfg.ClaimProbe = func(_ context.Context, p poison.Probe) bool { return cfg.PoisonTracker.ClaimProbe(p, 0, clock.Now()) }
 	}
 	if cfg.Engines == nil {
 		cfg.Engines = route.Engines{}
@@ -133,7 +133,7 @@
 	h.draining.Store(true)
 }
 
-// Draining reports whether Leave was called.
+// Draining reports whether Drain was called.
 func (h *Handler) Draining() bool { return h.draining.Load() }
 
 // Active returns the number of calls in progress.
@@ -171,7 +171,7 @@
 		return
 	}
 	stream := newStream(c)
-	if h.Draining() && stream.likelyDuration() > clock.Time(h.drainDeadline.Load()).Sub(now) {
+	if h.Draining() && stream.expectedDuration() > clock.Time(h.drainDeadline.Load()).Sub(now) {
 		// The stream would be cut off at the end of the grace period.
 		c.reject("draining", drainingRetryAfter)
 		return
@@ -224,8 +224,8 @@
 	w.WriteHeader(status)
 }
 
-// copyHead copies the headers of a reply to the caller's answer.
-func copyHead(w http.ResponseWriter, reply *Reply) {
+// copyHeaders copies the headers of a reply to the caller's answer.
+func copyHeaders(w http.ResponseWriter, reply *Reply) {
 	header := w.Header()
 	for k, v := range reply.Header {
 		header[k] = v
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -46,8 +46,8 @@
 
 // entryLinkHost returns the loopback address on which the outgoing links of the nth
 // instance listen. Instances of a zone share these links, because they exchange rows of
-// the store, which contain the addresses of links. A shared link has the name of the zone's first
-// instance.
+// the store, which contain the addresses of links. A shared link has the name of the
+// zone's first instance.
 func entryLinkHost(n int) string { return fmt.Sprintf("127.0.%d.1", n%len(zones)+1) }
 
 // zoneFirsts returns the first instance of each zone, whose outgoing links the zone
@@ -67,11 +67,11 @@
 	retryBudgetWindow = 10 * time.Second
 )
 
-// bootSettings returns an instance's settings. The instance reaches the store through its
+// settings returns an instance's settings. The instance reaches the store through its
 // link, and gets rows from it with addresses of links in place of those of targets and
 // peers.
-func (e *entry) bootSettings(n int) platform.Settings {
-	return platform.NewSettings(platform.SettingsParams{Node: e.name, Zone: zoneOf(n), CallerAddr: e.frontAddr, ReadinessAddr: e.readyAddr, Internal: e.internalAddr,
+func (e *entry) settings(n int) platform.Settings {
+	return platform.NewSettings(platform.SettingsParams{Node: e.name, Zone: zoneOf(n), CallerAddr: e.callerAddr, ReadinessAddr: e.readyAddr, Internal: e.internalAddr,
 		Store: entryLinkHost(n) + portSuffix(e.storeAddr), Memory: memoryLimitMB << 20,
 		Bounds: platform.Bounds{Config: configDelay, Revoke: revokeDelay, Grace: gracePeriod, BudgetRatio: retryBudgetRatio, BudgetWindow: retryBudgetWindow, BudgetExtra: retryBudgetExtra}})
 }
