--- a/desired.go
+++ b/desired.go
@@ -24,7 +24,7 @@
 var ErrBadDesired = errors.New("bad desired state")
 
 type (
-	// CallKind is the kind of a route's calls. It decides whether they may be
+	// CallKind is the kind of a route's calls; it determines whether a call may be
 	// retried.
 	CallKind uint8
 
@@ -144,15 +144,15 @@
 // Timeout returns the deadline of an answer, from the arrival of the call.
 func (r *Route) Timeout() time.Duration { return r.params.Timeout }
 
-// Objective returns the objective for the time to an answer; to the first event,
-// for streams.
+// Objective returns the objective for the time to the answer (streams: to the
+// first event).
 func (r *Route) Objective() time.Duration { return r.params.Objective }
 
 // IntervalObjective returns the objective for the event interval of a stream.
 func (r *Route) IntervalObjective() time.Duration { return r.params.IntervalObjective }
 
-// StallTimeout returns the time without an event after which an attempt of a stream
-// counts as lost; 0 if it is not set.
+// StallTimeout returns the time without an event after which an attempt of a
+// stream counts as lost; 0 if it is not set.
 func (r *Route) StallTimeout() time.Duration { return r.params.StallTimeout }
 
 // Priority returns the route's priority; 0 is the most urgent.
@@ -180,8 +180,8 @@
 // target.
 func (r *Route) Resumable() bool { return r.params.Resumable }
 
-// Service selects the service for a call by weight; point, in [0, 1), is the
-// call's position in the sum of the weights.
+// Service selects the service for a call by weight. point, in [0, 1), is the call's
+// position in the sequence of weights, as a fraction of their sum.
 func (r *Route) Service(point float64) string {
 	total := 0
 	for _, s := range r.params.Shares {
--- a/request.go
+++ b/request.go
@@ -21,8 +21,8 @@
 // Limits on a request.
 const (
 	MaxPromptTokens = 32_768
-	MaxTokens       = 16_384
-	MaxIDLength     = 128
+	MaxTokens       = 16_384 // to generate
+	MaxIDLength     = 128    // bytes
 )
 
 // Errors returned by Request.Validate.
@@ -97,7 +97,7 @@
 // Org returns the name of the caller's organisation.
 func (r Request) Org() string { return r.org }
 
-// Model returns the model name; for long requests.
+// Model returns the model name; only long requests have one.
 func (r Request) Model() string { return r.model }
 
 // Kind returns the kind of work.
--- a/target.go
+++ b/target.go
@@ -24,10 +24,10 @@
 		Address         string   // ip:port
 		Zone            string
 		Version         string // of the target's software; empty: unknown
-		Slots           int
+		Slots           int    // requests that the target processes at once
 		Draining        bool
 		WarmupRemaining time.Duration // remaining time of the slow phase after a start
-		Sequence        int64         // counts the boot's writes of its store entry
+		Sequence        int64         // number of the boot's write of its store entry
 	}
 )
 
@@ -76,8 +76,8 @@
 // Draining reports whether the target accepts no new work.
 func (t Target) Draining() bool { return t.params.Draining }
 
-// WarmupRemaining returns the remaining time of the slow phase after a start, as of the
-// target's last write of its store entry.
+// WarmupRemaining returns the remaining time of the slow phase after a start, as
+// of the target's last write of its store entry.
 func (t Target) WarmupRemaining() time.Duration { return t.params.WarmupRemaining }
 
 // Sequence returns the number of the write that t was read from. A boot counts its
--- a/token.go
+++ b/token.go
@@ -6,15 +6,15 @@
 	"strconv"
 )
 
-// Token is one generated token of an answer, with the fencing number of the
-// attempt that generated it, so that tokens of two attempts are never mixed.
+// Token is one generated token of an answer, with the number of the attempt that
+// generated it.
 type Token struct {
 	offset  int
 	attempt int
 	text    string
 }
 
-// NewToken returns a token.
+// NewToken returns the token at an offset in the answer.
 func NewToken(offset, attempt int, text string) Token {
 	return Token{offset: offset, attempt: attempt, text: text}
 }
