--- a/wire/loan.go
+++ b/wire/loan.go
@@ -60,8 +60,8 @@
 	return accept(w, r, maxLoanFrame)
 }
 
-// Borrow asks for a loan and returns how many retries are granted. After an error the
-// connection cannot be used any more.
+// Borrow asks for a loan and returns how many retries are granted. After an error
+// the connection cannot be used any more.
 func (c *Conn) Borrow(ctx context.Context, l Loan) (int, error) {
 	if err := c.SendLoan(ctx, l); err != nil {
 		return 0, err
--- a/wire/table.go
+++ b/wire/table.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TablePath is where an entry instance answers questions of peers for tables of the
-// store.
+// TablePath is where an entry instance answers questions of peers for tables of
+// the store.
 const TablePath = "/v1/table"
 
 const (
@@ -32,8 +32,8 @@
 	AnswerMissed
 	// AnswerStale: the instance holds no current table.
 	AnswerStale
-	// AnswerTooLarge: the rows exceed the size limit; the asking instance has to read
-	// them from the store.
+	// AnswerTooLarge: the rows exceed the size limit; the asking instance has to
+	// read them from the store.
 	AnswerTooLarge
 )
 
@@ -45,8 +45,8 @@
 	// question at a time.
 	Question struct {
 		Table     string
-		Whole     bool          // all rows; otherwise the rows changed after a version
-		After     int64         // the version
+		Whole     bool          // all rows; otherwise those changed after version After
+		After     int64         // version of the table
 		Wait      time.Duration // how long to wait for changes
 		WantsAsOf bool          // end the wait also when only the answer's AsOf has advanced
 		// CacheLocations holds the cache locations that the asking instance has recorded
--- a/wire/view.go
+++ b/wire/view.go
@@ -12,8 +12,8 @@
 	"github.com/ragworthitch/ragworthitch/poison"
 )
 
-// ViewPath is where an entry instance receives the views of its peers. The version in
-// the path rises when the frames change incompatibly.
+// ViewPath is where an entry instance receives the views of its peers. The version
+// in the path rises when the frames change incompatibly.
 const ViewPath = "/v2/view"
 
 // maxViewFrame bounds a frame in bytes; a thousand targets fit.
@@ -39,8 +39,8 @@
 	// the instance has no more calls there.
 	TargetLoad struct {
 		Target          ragworthitch.Boot
-		Prefill         int // prompt tokens whose prefill has not ended
-		YieldingPrefill int // the same for calls whose prefill yields to others at the target
+		Prefill         int // prompt tokens whose prefill has not ended, except YieldingPrefill
+		YieldingPrefill int // the same, of calls whose prefill yields to other calls
 		Running         int // calls in progress
 		Tokens          int // KV cache of the instance's calls and replicas, in tokens
 		// EventInterval is the event interval of streams at the target, as the instance
@@ -48,6 +48,8 @@
 		EventInterval time.Duration
 	}
 
+	// viewFrame is the CBOR form of a View. The one-letter fields of the frames are
+	// mapped by the encode and decode functions.
 	viewFrame struct {
 		N string               `cbor:"1,keyasint"`
 		L []loadFrame          `cbor:"2,keyasint,omitempty"`
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -59,8 +59,8 @@
 	Message struct {
 		Type      Type
 		RequestID string
-		Attempt   int
-		Fencing   uint64
+		Attempt   int    // number of the attempt
+		Fencing   uint64 // epoch of the agent's lease, as the sender last saw it
 
 		// Start
 		Model     string
@@ -85,9 +85,9 @@
 		NotRun bool // the attempt was rejected before it reached the target
 
 		// Load
-		Running int
-		Waiting int
-		AtMs    int64
+		Running int   // calls in progress
+		Waiting int   // calls in the queue
+		AtMs    int64 // Unix time at which the load was measured
 		Healthy bool
 	}
 
