--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -28,11 +28,12 @@
 	defaultIdleTime = 4 * time.Second
 	// idleMargin is how long before the target's own idle timeout a connection
 	// is dropped, so that no request meets the target's close.
-	idleMargin  = 1 * time.Second
+	idleMargin = 1 * time.Second
+	// maxIdleTime bounds the idle time that a Keep-Alive header allows.
 	maxIdleTime = 20 * time.Second
 
-	readBuffer  = 4 << 10
-	writeBuffer = 4 << 10
+	readBufferBytes  = 4 << 10
+	writeBufferBytes = 4 << 10
 )
 
 var (
@@ -46,8 +47,8 @@
 	transport = &http.Transport{
 		DialContext:        dial,
 		DisableCompression: true,
-		ReadBufferSize:     readBuffer,
-		WriteBufferSize:    writeBuffer,
+		ReadBufferSize:     readBufferBytes,
+		WriteBufferSize:    writeBufferBytes,
 	}
 )
 
@@ -71,13 +72,15 @@
 		maxIdle   time.Duration
 	}
 
-	// countedConn counts the bytes that the kernel accepted.
+	// countedConn counts the written bytes that the kernel accepted.
 	countedConn struct {
 		net.Conn
 		mu      sync.Mutex // held during a write
-		written int64
+		written int64      // bytes
 	}
 
+	// socketKey is the context key of the **countedConn in which dial stores the
+	// new connection.
 	socketKey struct{}
 
 	// body is a response body whose Close returns the connection to its pool if
@@ -98,8 +101,8 @@
 	return n, err
 }
 
-// bytesWritten returns how many bytes the kernel accepted. It waits for a write in
-// progress, so that the count is final once the connection is closed.
+// bytesWritten returns how many bytes the kernel accepted. A write in progress ends
+// first, so that the count is final once the connection is closed.
 func (c *countedConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,7 +164,8 @@
 	}
 }
 
-// CheckConnection connects to the target and keeps the connection for the next request.
+// CheckConnection opens a connection to the target and keeps it for the next
+// request.
 func (p *Pool) CheckConnection(ctx context.Context) error {
 	c, err := p.connect(ctx)
 	if err != nil {
@@ -231,8 +235,8 @@
 	return &conn{pool: p, http: hc, sock: sock, maxIdle: defaultIdleTime}, nil
 }
 
-// putIdle keeps a connection for the next request, or closes it if the connection has
-// failed or the pool is closed.
+// putIdle keeps a connection for the next request, or closes the connection if it
+// has failed or the pool is closed.
 func (p *Pool) putIdle(c *conn) {
 	c.idleSince = clock.Now()
 	p.mu.Lock()
@@ -274,7 +278,7 @@
 	return err
 }
 
-// dial connects and stores the connection where the socketKey value of ctx points.
+// dial opens a connection and stores it where the socketKey value of ctx points.
 func dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := net.Dialer{Control: DialControl}
 	nc, err := d.DialContext(ctx, network, addr)
@@ -288,8 +292,8 @@
 	return c, nil
 }
 
-// maxIdleTimeOf returns how long a connection may stay idle by the Keep-Alive header
-// of a response.
+// maxIdleTimeOf returns how long a connection may stay idle, from the Keep-Alive
+// header of its last response.
 func maxIdleTimeOf(h http.Header) time.Duration {
 	for f := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(f), "timeout=")
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -79,7 +79,7 @@
 	assert.Equal(t, 1, p.Open())
 }
 
-// The pool never resends a request, and the error says whether it was sent.
+// The pool never resends a request, and the error says whether the request was sent.
 func TestErrorsTellWhetherSent(t *testing.T) {
 	var calls atomic.Int64
 	p, _ := serve(t, func(http.ResponseWriter, *http.Request) {
--- a/upstream/sockets.go
+++ b/upstream/sockets.go
@@ -7,13 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledgedTimeout closes a connection whose peer acknowledges nothing. A machine
-// that lost power or is behind a network partition sends no reset, and the
-// kernel's default is many minutes.
+// unacknowledgedTimeout is the time after which the kernel closes a connection whose
+// remote end acknowledges no data. A machine that lost power or is behind a network
+// partition sends no reset, and the kernel's default is many minutes.
 const unacknowledgedTimeout = 2 * time.Second
 
-// DialControl sets unacknowledgedTimeout on a new socket. Use it as the Control of a
-// net.Dialer.
+// DialControl sets unacknowledgedTimeout on a new socket. It is a Control function for
+// a net.Dialer.
 func DialControl(_, _ string, c syscall.RawConn) error {
 	var sockErr error
 	err := c.Control(func(fd uintptr) {
