--- a/logs/bounded.go
+++ b/logs/bounded.go
@@ -12,8 +12,8 @@
 const (
 	// maxPendingLines bounds the lines that wait for a slow reader of the output.
 	maxPendingLines = 2000
-	// maxLinesPerSecond bounds the lines of all levels, and
-	// maxInfoLinesPerSecond those of level info, so that warnings and errors find room.
+	// maxLinesPerSecond bounds the lines of all levels. maxInfoLinesPerSecond bounds
+	// the lines of level info, so that warnings and errors find room.
 	maxLinesPerSecond     = 500
 	maxInfoLinesPerSecond = 300
 	flushTimeout          = 200 * time.Millisecond
@@ -27,18 +27,18 @@
 // boundedWriter queues lines for a goroutine that writes them. It drops and counts
 // lines that exceed the queue or the rate.
 type boundedWriter struct {
-	lines   chan []byte
-	dropped atomic.Int64
+	lines   chan []byte  // nil once flushed
+	dropped atomic.Int64 // lines dropped since the last report of their count
 	onDrop  func()
 
 	mu              sync.Mutex
-	second          int64
+	currentSecond   int64 // Unix time that linesThisSecond counts
 	linesThisSecond int
 }
 
 // Bounded returns a writer that never blocks and passes a bounded number of
-// lines a second to w. After dropped lines it writes a line with their count. It
-// calls onDrop, unless nil, for each dropped line. flush closes the writer and
+// lines a second to w. After dropped lines the writer adds a line with their count.
+// onDrop, unless nil, is called for each dropped line. flush closes the writer and
 // waits up to flushTimeout for pending lines.
 func Bounded(w io.Writer, onDrop func()) (out io.Writer, flush func()) {
 	if onDrop == nil {
@@ -74,8 +74,8 @@
 func (b *boundedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now := time.Now().Unix(); now != b.second {
-		b.second, b.linesThisSecond = now, 0
+	if now := time.Now().Unix(); now != b.currentSecond {
+		b.currentSecond, b.linesThisSecond = now, 0
 	}
 	b.linesThisSecond++
 	if b.linesThisSecond > maxLinesPerSecond || b.lines == nil || b.linesThisSecond > maxInfoLinesPerSecond && isInfo(line) {
--- a/logs/history.go
+++ b/logs/history.go
@@ -12,32 +12,32 @@
 	"time"
 )
 
-// stateLookBack is how long before a request's first line RequestHistory includes changes of
-// process state.
+// stateLookBack is how long before a request's first line RequestHistory includes
+// changes of process state.
 const stateLookBack = 10 * time.Second
 
 // statePrefixes are the message prefixes of lines that report a change of process
 // state. RequestHistory includes those of the request's processes and targets.
 var statePrefixes = []string{"health:", "discovery:", "desired:", "instance:"}
 
-// crashPrefix is the message prefix of lines on poison requests. RequestHistory includes all
-// lines with the request's fingerprint, at any time and of any process.
+// crashPrefix is the message prefix of lines on poison requests. RequestHistory
+// includes all such lines with the request's fingerprint, of any time and process.
 const crashPrefix = "poison:"
 
 // record is a log line with all its fields.
 type record struct {
 	line
-	request, target string
+	request, target string // ids
 	fingerprint     string // the same for all attempts of the request
 	fields          string // other fields as NAME=VALUE, sorted
 }
 
-// RequestHistory writes the log lines that concern a request, ordered by time, and returns
-// the number of the request's own lines:
+// RequestHistory writes the log lines that concern a request, ordered by time, and
+// returns the number of the request's own lines. It writes:
 //   - the request's own lines, marked with "*"
 //   - changes of process state (see statePrefixes) while the request ran, as logged
 //     by the processes that served it
-//   - all lines on crashes of targets that ran the request
+//   - all lines on the request's crashes and quarantine (see crashPrefix)
 //
 // Text before the JSON of a line is skipped.
 func RequestHistory(w io.Writer, request string, paths []string) (int, error) {
@@ -80,7 +80,7 @@
 	fmt.Fprintf(w, "%s %s %s %s | %s\n", r.time, marker, r.process, r.message, r.fields)
 }
 
-// TargetHistory writes the lines of all processes on a target, ordered by time, and
+// TargetHistory writes the lines of all processes about a target, ordered by time, and
 // returns their number.
 func TargetHistory(w io.Writer, target string, paths []string) (int, error) {
 	all, err := readRecords(paths)
