--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics provides the tally scope of a process. Its values are kept in
-// memory and served as JSON at /debug/metrics.
+// Package metrics provides the tally scope of a process, whose values are kept in
+// memory. A Reporter serves them as JSON, and its TextHandler as text.
 package metrics
 
 import (
@@ -16,16 +16,16 @@
 
 type (
 	// Reporter keeps the values of a tally scope: counters as sums, gauges as
-	// last set, timers as count, sum and maximum.
+	// last set, timers as count, sum and maximum, histograms as samples per bucket.
 	Reporter struct {
-		mu       sync.Mutex
-		counters map[string]int64
-		gauges   map[string]float64
-		timers   map[string]*timer
-
+		mu         sync.Mutex
+		counters   map[string]int64
+		gauges     map[string]float64
+		timers     map[string]*timer
 		histograms map[bucket]int64 // number of samples
 	}
 
+	// timer sums up the durations of a tally timer.
 	timer struct {
 		Count int64   `json:"count"`
 		SumMs float64 `json:"sumMs"`
--- a/metrics/text.go
+++ b/metrics/text.go
@@ -9,7 +9,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// bucket identifies a bucket of a histogram.
+// bucket identifies a bucket of a histogram by its upper bound.
 type bucket struct {
 	name  string
 	upper time.Duration
@@ -25,8 +25,8 @@
 	r.histograms[bucket{name, upper}] += n
 }
 
-// TextHandler returns a handler that serves counters, gauges and histograms as lines of
-// text: a name, labels and a number. Histogram buckets are cumulative, with their
+// TextHandler returns a handler that serves counters, gauges and histograms as lines
+// of text: a name, labels and a number. Histogram buckets are cumulative, with their
 // upper bound in seconds as the label le.
 func (r *Reporter) TextHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
