--- a/settings/check.go
+++ b/settings/check.go
@@ -20,8 +20,8 @@
 	if len(f.Zones) == 0 {
 		c.fail("$.zones", "at least one zone is needed")
 	}
-	c.addr("$.platform.listen", f.Platform.Listen)
-	c.zone("$.platform.zone", f.Platform.Zone, f.Zones)
+	c.checkAddr("$.platform.listen", f.Platform.Listen)
+	c.checkZone("$.platform.zone", f.Platform.Zone, f.Zones)
 	for k, v := range map[string]int{
 		"stallMs": f.Timeouts.StallMs, "heartbeatMs": f.Timeouts.HeartbeatMs,
 		"leaseMs": f.Timeouts.LeaseMs, "shortMs": f.Timeouts.ShortMs,
@@ -82,8 +82,8 @@
 		if e.Name == "" {
 			c.fail(p+".name", "missing entry name")
 		}
-		c.zone(p+".zone", e.Zone, f.Zones)
-		c.addr(p+".listen", e.Listen)
+		c.checkZone(p+".zone", e.Zone, f.Zones)
+		c.checkAddr(p+".listen", e.Listen)
 		checkUnique(p, e.Name, e.Listen)
 	}
 	for i, t := range f.Targets {
@@ -94,9 +94,9 @@
 		if t.Kind != KindEngine && t.Kind != KindService {
 			c.fail(p+".kind", fmt.Sprintf("kind must be %s or %s, have %q", KindEngine, KindService, t.Kind))
 		}
-		c.zone(p+".zone", t.Zone, f.Zones)
-		c.addr(p+".listen", t.Listen)
-		c.addr(p+".agent", t.Agent)
+		c.checkZone(p+".zone", t.Zone, f.Zones)
+		c.checkAddr(p+".listen", t.Listen)
+		c.checkAddr(p+".agent", t.Agent)
 		checkUnique(p, t.Name, t.Listen)
 		if prev, ok := addrs[t.Agent]; ok && t.Agent != "" {
 			c.fail(p+".agent", fmt.Sprintf("address %s already used at %s", t.Agent, prev))
@@ -119,17 +119,19 @@
 	return c.err()
 }
 
+// validator collects the errors in the settings file src.
 type validator struct {
 	src  []byte
 	errs []string
 }
 
 func (c *validator) fail(path, msg string) {
-	c.errs = append(c.errs, fmt.Sprintf("%s%s: %s", strings.TrimPrefix(path, "$."), c.line(path), msg))
+	c.errs = append(c.errs, fmt.Sprintf("%s%s: %s", strings.TrimPrefix(path, "$."), c.lineSuffix(path), msg))
 }
 
-// line returns the line of a YAML path, or of its nearest parent that exists.
-func (c *validator) line(path string) string {
+// lineSuffix returns " (line N)" for a YAML path or its nearest parent that exists,
+// or an empty string if there is none.
+func (c *validator) lineSuffix(path string) string {
 	for p := path; p != "$" && p != ""; {
 		yp, err := yaml.PathString(p)
 		if err == nil {
@@ -146,7 +148,7 @@
 	return ""
 }
 
-func (c *validator) addr(path, addr string) {
+func (c *validator) checkAddr(path, addr string) {
 	if addr == "" {
 		c.fail(path, "missing address")
 		return
@@ -156,7 +158,7 @@
 	}
 }
 
-func (c *validator) zone(path, z string, zones []string) {
+func (c *validator) checkZone(path, z string, zones []string) {
 	if z == "" {
 		c.fail(path, "missing zone")
 		return
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -30,10 +30,10 @@
 	KindService = "service"
 )
 
-// Fencing behaviours of an engine.
+// How an engine treats a call with an old fencing number.
 const (
-	FencingRefuse = "refuse"
-	FencingIgnore = "ignore"
+	FencingRefuse = "refuse" // rejects the call
+	FencingIgnore = "ignore" // runs the call
 )
 
 var (
@@ -63,7 +63,7 @@
 		Log        Log      `yaml:"log"`
 	}
 
-	// Platform is where the table service and object store listen.
+	// Platform is the address and zone of the table service and object store.
 	Platform struct {
 		Listen string `yaml:"listen"`
 		Zone   string `yaml:"zone"`
@@ -73,7 +73,7 @@
 	Timeouts struct {
 		StallMs     int `yaml:"stallMs"`     // time without a token after which an attempt is abandoned
 		HeartbeatMs int `yaml:"heartbeatMs"` // interval at which an agent renews its lease
-		LeaseMs     int `yaml:"leaseMs"`     // time after which a lease that isn't renewed expires
+		LeaseMs     int `yaml:"leaseMs"`     // time after which a lease expires unless renewed
 		ShortMs     int `yaml:"shortMs"`     // deadline of a short call
 		RetryAfterS int `yaml:"retryAfterS"` // retry delay in error responses
 		RefreshMs   int `yaml:"refreshMs"`   // interval at which an entry instance rereads the targets
@@ -198,6 +198,7 @@
 	return nil
 }
 
+// expandEnv replaces references of the form ${NAME} by environment variables.
 func expandEnv(b []byte) ([]byte, error) {
 	var missing []string
 	out := envRef.ReplaceAllFunc(b, func(m []byte) []byte {
