--- a/cachelocation/table.go
+++ b/cachelocation/table.go
@@ -1,4 +1,4 @@
-// Package recall records cache locations: which engine holds the KV cache of a
+// Package cachelocation records cache locations: which engine holds the KV cache of a
 // prompt. A stream whose connection was interrupted may be resumed through any
 // entry instance. At the engine with its cached prefix it resumes without a second
 // prefill.
@@ -82,7 +82,7 @@
 	}
 }
 
-// Find returns the engine that was last known to cache a prompt, and whether one
+// Find returns the engine that was last known to cache a prompt, and whether
 // such an engine is known.
 func (t *Table) Find(subject string, now clock.Time) (ragworthitch.Boot, bool) {
 	t.mu.Lock()
--- a/ingress/replica_test.go
+++ b/ingress/replica_test.go
@@ -16,7 +16,7 @@
 )
 
 // replicaSender breaks the first attempt after an event, once another target has taken
-// over the address of the replica target. It records the order of the second attempt.
+// over the address of the replica target. It records the second attempt.
 type replicaSender struct {
 	h             *Handler
 	service       string // of the target that takes over the address
@@ -37,8 +37,8 @@
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody, Events: events}, nil
 }
 
-// CheckConnection succeeds, so that no target is ejected and the stream does not fail over once
-// more.
+// CheckConnection succeeds, so that no target is ejected and the stream does not fail over
+// once more.
 func (*replicaSender) CheckConnection(context.Context, *registry.Member) error { return nil }
 
 // A stream resumes from a replica only at a target of its service that was at the
@@ -72,7 +72,7 @@
 	}
 }
 
-// zoneSender breaks the first two attempts and records all orders.
+// zoneSender breaks the first two attempts and records all attempts.
 type zoneSender struct {
 	attempts []*AttemptRequest
 }
