--- a/soak/caller.go
+++ b/soak/caller.go
@@ -99,6 +99,8 @@
 	}
 }
 
+// newCall returns a call to the connected instance. An empty subject is replaced by a new
+// one; a resumed stream keeps the subject of the interrupted call.
 func (c *caller) newCall(kind string, resumeOffset int, subject string) Call {
 	c.callCount++
 	if subject == "" {
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -25,8 +25,8 @@
 	orgFixed      = "taller"
 	orgRotating   = "molino"
 	keyFixed      = "key-fixed"
-	activeRoutes  = 3 // routes of the latest versions that exist
-	activeKeys    = 2 // keys of the latest versions that are valid
+	activeRoutes  = 3 // number of latest versions whose routes exist
+	activeKeys    = 2 // number of latest versions whose keys are valid
 	streamTimeout = 8 * time.Second
 	plainTimeout  = 3 * time.Second
 	streamEvents  = 60
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -15,6 +15,8 @@
 // stopTolerance is how long a process may run after its grace period.
 const stopTolerance = time.Second
 
+// lostAcksPerSecond is the number of acknowledgements that the store loses per second of a
+// KindStoreLoseAcks fault.
 const lostAcksPerSecond = 10
 
 // inject carries out a fault and records when it started and ended.
--- a/soak/target.go
+++ b/soak/target.go
@@ -180,10 +180,11 @@
 	}()
 }
 
-// answerGenerator produces the answerGenerator of the target with this id.
+// answerGenerator is the id of a target and generates the answers of that target.
 type answerGenerator string
 
-// Events returns the texts of a stream's events after a given one.
+// Events yields the stream's subject for each event, without end. The stand-in appends the
+// number of the event, which gives eventText.
 func (answerGenerator) Events(_ context.Context, call string, after int) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for yield(subjectOf(call)) {
