--- a/emulator/step.go
+++ b/emulator/step.go
@@ -7,8 +7,8 @@
 )
 
 // beginStep starts a step, in which every generation of the batch generates a
-// token and one other prefills the next chunk of its prompt. It returns the
-// step's duration, or 0 if there is nothing to do.
+// token and one other prefills the next chunk of its prompt. beginStep returns
+// the step's duration, or 0 if there is nothing to do.
 func (e *Engine) beginStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,6 +77,7 @@
 	}
 }
 
+// compareRank orders generations by rank, and those of equal rank by arrival.
 func compareRank(a, b *Generation) int {
 	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.arrival, b.arrival))
 }
