--- a/experiment/instance.go
+++ b/experiment/instance.go
@@ -32,7 +32,7 @@
 	firstEventObjective    = 4500 * time.Millisecond
 	eventIntervalObjective = 700 * time.Millisecond
 	forwardingObjective    = 120 * time.Millisecond // from the generation of an event by the engine to its receipt
-	maxTargets             = 5
+	maxAttempts            = 5
 )
 
 // retryLimit is the retry budget that all entry instances share.
@@ -72,13 +72,14 @@
 	return in
 }
 
-// desiredState returns a state with one service, the engines, and a route to it.
+// desiredState returns a desired state with one service, to which all engines belong, and a
+// route to the service.
 func desiredState(replicas bool, profile emulator.Profile) (*ragworthitch.DesiredState, error) {
 	return ragworthitch.NewDesiredState(ragworthitch.DesiredParams{Version: 1,
 		Services: []ragworthitch.Service{ragworthitch.NewService(ragworthitch.ServiceParams{Name: serviceName,
 			Engine: &ragworthitch.Engine{Slots: profile.Slots, KVTokens: profile.MemoryTokens, CanReplicate: replicas, TokensPerEvent: profile.TokensPerEvent, ReplicaExpiry: emulator.ReplicaExpiry}})},
 		Routes: []ragworthitch.Route{ragworthitch.NewRoute(ragworthitch.RouteParams{Name: "plans", Host: host, Prefix: path,
-			Kind: ragworthitch.CallStream, Timeout: callTimeout, Objective: firstEventObjective, IntervalObjective: eventIntervalObjective, MaxAttempts: maxTargets, Resumable: true,
+			Kind: ragworthitch.CallStream, Timeout: callTimeout, Objective: firstEventObjective, IntervalObjective: eventIntervalObjective, MaxAttempts: maxAttempts, Resumable: true,
 			Shares: []ragworthitch.Share{{Service: serviceName, Weight: 1}}})}})
 }
 
--- a/experiment/simulation_test.go
+++ b/experiment/simulation_test.go
@@ -65,11 +65,11 @@
 			}
 			assert.LessOrEqual(t, product.LateAttempts, maxLateAttempts)
 			assert.LessOrEqual(t, product.Crashes, draws*want.Crashed)
-			for name, part := range want.Misses {
-				assert.LessOrEqual(t, 1-product.Share(), part*(1-simulate(t, workloads[i], name).Share()), name)
+			for name, maxRatio := range want.Misses {
+				assert.LessOrEqual(t, 1-product.Share(), maxRatio*(1-simulate(t, workloads[i], name).Share()), name)
 			}
-			for name, by := range want.Beats {
-				assert.GreaterOrEqual(t, product.Share(), simulate(t, workloads[i], name).Share()+by, name)
+			for name, minLead := range want.Beats {
+				assert.GreaterOrEqual(t, product.Share(), simulate(t, workloads[i], name).Share()+minLead, name)
 			}
 		})
 	}
