--- a/load/run.go
+++ b/load/run.go
@@ -70,6 +70,7 @@
 		replayed       bool // answered with the recorded answer of an earlier call
 	}
 
+	// runner runs one replay.
 	runner struct {
 		cfg     *settings.File
 		entries []string
@@ -213,8 +214,8 @@
 	body, _ := json.Marshal(map[string]string{"org": request.Org})
 	result := Result{ID: request.ID, Kind: request.Kind, idempotencyKey: request.IdempotencyKey}
 	start := time.Now()
-	// Like a load balancer, tries the next entry instance if one is unreachable.
-	// The idempotency key makes this safe.
+	// Like a load balancer, runRequest tries the next entry instance if one is
+	// unreachable. The idempotency key makes the retry safe.
 	var resp *http.Response
 	var err error
 	for try := range len(r.entries) {
