--- a/entry/agents.go
+++ b/entry/agents.go
@@ -45,8 +45,9 @@
 		replies map[attemptKey]*queue.Queue[wire.Message]
 	}
 
+	// attemptKey identifies an attempt of a stream or plain call.
 	attemptKey struct {
-		id      string
+		id      string // of the request
 		attempt int
 	}
 )
--- a/entry/checkpoint.go
+++ b/entry/checkpoint.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// savePrompt stores the stream's request.
+// savePrompt writes the prompt checkpoint, which holds the stream's request.
 func (s *Stream) savePrompt(ctx context.Context) {
 	v := promptCheckpoint{Org: s.req.Org(), Model: s.req.Model(), Prompt: s.prompt, MaxTokens: s.req.MaxTokens(),
 		Seed: s.req.Seed(), Priority: s.req.Priority()}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -3,7 +3,7 @@
 // speaks the wire protocol to each agent. Package ingress routes the calls. An
 // entry instance keeps finished streams for callers that reconnect, writes
 // checkpoints from which a peer continues a stream after a crash, and claims a
-// non-repeatable call in the store before the call runs. It has no durable
+// non-idempotent call in the store before the call runs. It has no durable
 // state of its own.
 package entry
 
@@ -38,10 +38,10 @@
 	ErrGaveUp = errors.New("entry: gave up after all attempts")
 	// ErrNotRun is returned when a call certainly did not run.
 	ErrNotRun = errors.New("entry: not run")
-	// ErrFailed is returned when a repeatable call failed. The call may have
+	// ErrFailed is returned when an idempotent call failed. The call may have
 	// run; the caller may retry.
 	ErrFailed = errors.New("entry: call failed")
-	// ErrUnknownOutcome is returned when a non-repeatable call may have run.
+	// ErrUnknownOutcome is returned when a non-idempotent call may have run.
 	ErrUnknownOutcome = errors.New("entry: outcome unknown")
 	// ErrDuplicate is returned when a request id is already in use.
 	ErrDuplicate = errors.New("entry: request id already in use")
@@ -133,8 +133,8 @@
 // Ready reports whether the agent of at least one target is connected.
 func (e *Entry) Ready() bool { return e.ready.Load() }
 
-// streamContext returns the context of streams. They outlive the caller's
-// request; the context ends with Run.
+// streamContext returns the context of streams, which outlive the caller's
+// request. The context ends with Run.
 func (e *Entry) streamContext() context.Context {
 	e.ctxMu.Lock()
 	defer e.ctxMu.Unlock()
