--- a/agent/agent.go
+++ b/agent/agent.go
@@ -207,7 +207,8 @@
 	return conns
 }
 
+// attemptKey identifies an attempt at the agent's target.
 type attemptKey struct {
-	id      string
+	id      string // of the request
 	attempt int
 }
