--- a/engine/standin.go
+++ b/engine/standin.go
@@ -63,7 +63,7 @@
 		priority     int
 		prefillSteps int // steps until the prefill is complete
 		nextOffset   int
-		max          int
+		max          int // tokens of the answer, with those of the resumed prefix
 		lastToken    string
 		tokens       chan string
 		isFinished   bool
