--- a/cmd/ragworthitch/settings.go
+++ b/cmd/ragworthitch/settings.go
@@ -31,7 +31,7 @@
 
 func (c *settingsCmd) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if c.bootPath != "" {
-		return checkBootFile(c.bootPath)
+		return checkPlatformSettings(c.bootPath)
 	}
 	cfg, err := c.loadSettings()
 	if err != nil {
@@ -50,8 +50,8 @@
 	return subcommands.ExitSuccess
 }
 
-// checkBootFile validates a settings file of the platform.
-func checkBootFile(path string) subcommands.ExitStatus {
+// checkPlatformSettings validates a settings file of the platform.
+func checkPlatformSettings(path string) subcommands.ExitStatus {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return fail(err)
--- a/cmd/ragworthitch/soak.go
+++ b/cmd/ragworthitch/soak.go
@@ -40,9 +40,9 @@
 	f.StringVar(&c.size, "size", "small", "size of the deployment and load: small, usual or limit")
 	f.StringVar(&c.planPath, "plan", "", "run the plan in this file")
 	f.StringVar(&c.savePath, "save", "", "write the plan, after -shrink the smaller one, to this file")
-	f.StringVar(&c.dir, "dir", "", "directory of logs and records; empty: a temporary one, kept if a promise was broken")
+	f.StringVar(&c.dir, "dir", "", "directory of logs and records; empty: a temporary one, kept if a guarantee was violated")
 	f.StringVar(&c.goodputPath, "goodput", "", "write the calls served per second and the faults to this JSON file")
-	f.BoolVar(&c.shrink, "shrink", false, "search for a smaller plan that breaks the same promise")
+	f.BoolVar(&c.shrink, "shrink", false, "search for a smaller plan that violates the same guarantee")
 	f.BoolVar(&c.print, "print", false, "print the plan without running it")
 }
 
@@ -77,7 +77,7 @@
 		}
 	}
 	if failedRuns > 0 {
-		return fail(fmt.Errorf("soak: %d of %d runs broke a promise", failedRuns, max(1, c.runs)))
+		return fail(fmt.Errorf("soak: %d of %d runs violated a guarantee", failedRuns, max(1, c.runs)))
 	}
 	return subcommands.ExitSuccess
 }
