--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -2,14 +2,14 @@
 """Checks that the soak test detects bugs: scripts/soakbugs.py [SEEDS [NAME...]]
 
 Writes each bug, or each of those named, into a copy of the tree, builds the copy and
-runs its soak test with up to SEEDS seeds (default 3) until the promise that the bug
-breaks is reported as broken. Prints a line for each bug, and exits with 1 if one was
+runs its soak test with up to SEEDS seeds (default 3) until the rule that the bug
+violates is reported. Prints a line for each bug, and exits with 1 if one was
 not detected.
 """
 import concurrent.futures, os, re, shutil, subprocess, sys, tempfile
 
 ROOT = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..")
-# name: promise, and file, text, replacement of each change
+# name: rule, and file, text, replacement of each change
 BUGS = {
     "a token comes twice": ("ORDER", "ingress/attempt.go", "	if _, err := s.w.Write(event.Raw); err != nil {", "	if event.ID == 7 {\n\t\ts.w.Write(event.Raw)\n\t}\n	if _, err := s.w.Write(event.Raw); err != nil {"),
     "a stream that goes on begins anew": ("ORDER", "ingress/attempt.go", "		if event.ID <= s.lastID {", "		if false && event.ID <= s.lastID {",
@@ -54,17 +54,17 @@
 def detect(name, folder, seeds):
     """Runs soak tests with a bug; returns a line on the result, and whether they detected it."""
     program = build(name, folder)
-    promise = BUGS[name][0]
-    broken = set()
+    rule = BUGS[name][0]
+    violated = set()
     runs = [(f"seed {seed}", ["-seed", str(seed), "-for", "45s"]) for seed in range(1, seeds + 1)]
     if name in PLANS:
         runs = [(PLANS[name], ["-plan", os.path.join(ROOT, PLANS[name])])]
     for label, args in runs:
         out = subprocess.run([program, "soak", *args, "-dir", os.path.join(folder, "plays")], capture_output=True, text=True)
-        broken |= set(re.findall(r"^ +[\d.]+ s ([A-Z]+) ", out.stdout, re.M))
-        if promise in broken:
-            return f"{name}: {promise} broken, found with {label}", True
-    return f"{name}: {promise} NOT found with {[label for label, _ in runs]}; found {sorted(broken)}", False
+        violated |= set(re.findall(r"^ +[\d.]+ s ([A-Z]+) ", out.stdout, re.M))
+        if rule in violated:
+            return f"{name}: {rule} broken, found with {label}", True
+    return f"{name}: {rule} NOT found with {[label for label, _ in runs]}; found {sorted(violated)}", False
 
 
 def main():
