--- a/entry/call.go
+++ b/entry/call.go
@@ -82,11 +82,11 @@
 		Header: http.Header{headerIdempotencyKey: {req.IdempotencyKey()}}, Received: clock.Now()}
 	switch complete := e.callHandler.ServeComplete(ctx, &r, c); {
 	case !complete:
-		return "", fmt.Errorf("%w: the call ended before its answer was complete", ErrUnknownOutcome)
+		return "", fmt.Errorf("%w: the caller left", ErrUnknownOutcome)
 	case r.status == http.StatusOK:
 		return r.body.String(), nil
 	case r.status == http.StatusServiceUnavailable:
-		return "", fmt.Errorf("%w: no target accepted the call", ErrNotRun)
+		return "", fmt.Errorf("%w: no target took the call", ErrNotRun)
 	default:
 		return "", fmt.Errorf("%w: %s", ErrUnknownOutcome, http.StatusText(r.status))
 	}
@@ -141,10 +141,10 @@
 				return got, nil // callNonIdempotent checks whose claim it is
 			case errors.Is(gerr, platform.ErrNotFound):
 				e.stats.CallsNotRun.Add(1)
-				return platform.Row{}, fmt.Errorf("%w: the store has no claim row after a failed write", ErrNotRun)
+				return platform.Row{}, fmt.Errorf("%w: the table did not take the claim", ErrNotRun)
 			default:
 				e.stats.CallsNotRun.Add(1)
-				return platform.Row{}, fmt.Errorf("%w: the store is unavailable: %v", ErrNotRun, err)
+				return platform.Row{}, fmt.Errorf("%w: the table is unavailable: %v", ErrNotRun, err)
 			}
 		}
 		if !errors.Is(err, platform.ErrConflict) {
@@ -159,14 +159,14 @@
 		}
 		ifVersion = row.Version // a released claim may be claimed again
 	}
-	return platform.Row{}, fmt.Errorf("%w: each write of the claim conflicted with another write", ErrNotRun)
+	return platform.Row{}, fmt.Errorf("%w: claim raced too often", ErrNotRun)
 }
 
 // decodeClaim decodes a claim row. An invalid row may belong to any call, so the
 // error wraps ErrUnknownOutcome and no call runs under its key.
 func decodeClaim(row platform.Row) (v claimRow, err error) {
 	if err := json.Unmarshal(row.Value, &v); err != nil {
-		return v, fmt.Errorf("%w: invalid claim row %s: %v", ErrUnknownOutcome, row.Key, err)
+		return v, fmt.Errorf("%w: claim row %s not understood: %v", ErrUnknownOutcome, row.Key, err)
 	}
 	return v, nil
 }
--- a/entry/checkpoint.go
+++ b/entry/checkpoint.go
@@ -152,7 +152,7 @@
 	if request.State == "running" {
 		lease, err := e.store.Get(ctx, entryLeasePrefix+request.Entry)
 		if err == nil && !lease.Expired && request.Entry != e.self.Name {
-			return nil, fmt.Errorf("%w: stream %s runs at %s", ErrOwnedElsewhere, id, request.Entry)
+			return nil, fmt.Errorf("%w: %s is driven by %s", ErrOwnedElsewhere, id, request.Entry)
 		}
 	}
 	promptBytes, err := e.store.GetObject(ctx, promptPrefix+id)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -48,7 +48,7 @@
 	// ErrUnknownStream is returned when there is no stream with a request id.
 	ErrUnknownStream = errors.New("entry: unknown stream")
 	// ErrOwnedElsewhere is returned when a peer runs the stream.
-	ErrOwnedElsewhere = errors.New("entry: stream runs at another entry instance")
+	ErrOwnedElsewhere = errors.New("entry: stream driven by another entry")
 )
 
 type (
--- a/handlers/debug.go
+++ b/handlers/debug.go
@@ -41,7 +41,7 @@
 		Kind string `json:"kind"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil || f.Kind != "die" {
-		writeError(w, http.StatusBadRequest, "bad fault: the only kind is die", false, 0)
+		writeError(w, http.StatusBadRequest, "bad fault: the one kind is die", false, 0)
 		return
 	}
 	os.Exit(3)
