--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -1,87 +1,90 @@
 #!/usr/bin/env python3
-"""What each mechanism is worth: plays the days of a site with it switched off.
+"""Measures the worth of each mechanism: runs the days of a site without it.
 
   scripts/ablate.py BENCH SITE... [--seeds 1,2,3] [--only NAME,...] [--folder DIR]
 
-Each mechanism is switched off by a change of a line in a copy of the tree (the
-product has no switches for them), and the standard days with trouble are played
-in it without processor cost. Prints the mean worth of each variant and site,
-with the standard error of its difference to the product on the same days and
-seeds. The journal entries of the plays stay in the copies' journal/.
+Each mechanism is disabled by an edit of one line in a copy of the tree, since the
+product has no switches for mechanisms. The bench runs the trouble and scale days
+of the sites with the copy, without processor cost. Prints the mean worth by
+variant and site, and the mean difference from the product on the same days and
+seeds with its standard error. The bench writes its journal entries into the
+copies' journal/.
 """
 import argparse, concurrent.futures, math, os, re, shutil, statistics, subprocess, tempfile
 
-HERE = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..")
-# name: file, text, replacement
-CUTS = {
+ROOT = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..")
+# variant: file, text, replacement
+EDITS = {
     "product": None,
-    "copies": ("ingress/stream.go", "e == nil || !e.Backups ||", "e == nil || e != nil ||"),
-    "homes": ("route/engine.go", "homeGain = 0.4", "homeGain = 0.0"),
-    "recall": ("recall/recall.go", "if !ok || now.Sub(m.at) > keep {", "if true || !ok || now.Sub(m.at) > keep {"),
+    "copies": ("ingress/copy.go", "e == nil || !e.Backups ||", "e == nil || e != nil ||"),
+    "homes": ("route/engine.go", "preferredBonus = 0.4", "preferredBonus = 0.0"),
+    "recall": ("recall/recall.go", "if !ok || now.Sub(known.recordedAt) > maxAge {", "if true || !ok || now.Sub(known.recordedAt) > maxAge {"),
     "places in the store": ("instance/locations.go", "for clock.Sleep(ctx, i.locations.saveDelay(clock.Now())) {", "for false && clock.Sleep(ctx, i.locations.saveDelay(clock.Now())) {"),
-    "views": ("exchange/exchange.go", "func (e *Exchange) take(v wire.View) {", "func (e *Exchange) take(v wire.View) {\n\tv = wire.View{}"),
-    "zone trouble": ("route/engine.go", "zoneTroubleCost = 6", "zoneTroubleCost = 0"),
-    "lossy ways": ("ingress/silence.go", "if !r.s.h.links.Stalled(zone, at) {", "if true || !r.s.h.links.Stalled(zone, at) {"),
-    "hedging": ("ingress/plain.go", "if safe && pending > 0 && launch() {", "if false && safe && pending > 0 && launch() {"),
+    "views": ("exchange/exchange.go", "func (e *Exchange) apply(v wire.View) {", "func (e *Exchange) apply(v wire.View) {\n\tv = wire.View{}"),
+    "zone trouble": ("route/engine.go", "zoneOutageCost = 6", "zoneOutageCost = 0"),
+    "lossy ways": ("ingress/silence.go", "if !a.s.h.links.Stalled(zone, readAt) {", "if true || !a.s.h.links.Stalled(zone, readAt) {"),
+    "hedging": ("ingress/plain.go", "if safe && pending > 0 && startAttempt() {", "if false && safe && pending > 0 && startAttempt() {"),
     "probes": ("ingress/job.go", "if !m.Health().BeginProbe() {", "if true || !m.Health().BeginProbe() {"),
-    "learnt speeds": ("ingress/job.go", "return j.h.paces.Of(j.service()).Pace()", "return pace.Pace{}"),
-    "speeds in choices": ("route/engine.go", "if slow == 0 {", "if true || slow == 0 {"),
-    "refusal of hopeless streams": ("ingress/stream.go", "if s.fails == 0 && s.hopeless(m) {", "if false && s.fails == 0 && s.hopeless(m) {"),
-    "ranks": ("ingress/stream.go", "func (s *stream) rank(m *registry.Member) Rank {", "func (s *stream) rank(m *registry.Member) Rank {\n\tif s != nil {\n\t\treturn RankUsual\n\t}"),
-    "likely end of leaving instances": ("ingress/handler.go", "if h.Leaving() && s.likely()", "if false && h.Leaving() && s.likely()"),
-    "late streams yield": ("ingress/stream.go", "return aim > 0 && expected", "return false && aim > 0 && expected"),
-    "copies yield": ("ingress/stream.go", "const copyRoom = 0.8", "const copyRoom = 80"),
-    "stale zones": ("ingress/job.go", "stale := j.h.targets.Stale(j.service(), zone, now)", "stale := 0 * j.h.targets.Stale(j.service(), zone, now)"),
+    "learnt speeds": ("ingress/job.go", "return c.h.paces.Of(c.service()).Pace()", "return pace.Pace{}"),
+    "speeds in choices": ("route/engine.go", "if slowdown == 0 {", "if true || slowdown == 0 {"),
+    "refusal of hopeless streams": ("ingress/stream.go", "if s.failedAttempts == 0 && s.cannotEndInTime(m) {", "if false && s.failedAttempts == 0 && s.cannotEndInTime(m) {"),
+    "ranks": ("ingress/needs.go", "func (s *stream) rank(m *registry.Member) Rank {", "func (s *stream) rank(m *registry.Member) Rank {\n\tif s != nil {\n\t\treturn RankUsual\n\t}"),
+    "likely end of leaving instances": ("ingress/handler.go", "if h.Leaving() && stream.likelyDuration()", "if false && h.Leaving() && stream.likelyDuration()"),
+    "late streams yield": ("ingress/needs.go", 's.call.After != "" || s.firstEventLate(', 's.call.After != "" || false && s.firstEventLate('),
+    "copies yield": ("ingress/copy.go", "const maxReplicaMemoryShare = 0.8", "const maxReplicaMemoryShare = 80"),
+    "stale zones": ("ingress/trouble.go", "lost := z.failed + c.h.targets.Stale(c.service(), zone, now)", "lost := z.failed + 0*c.h.targets.Stale(c.service(), zone, now)"),
 }
 
 
-def prepare(name, folder):
-    copy = os.path.join(folder, re.sub(r"\W", "_", name))
-    shutil.copytree(HERE, copy, ignore=shutil.ignore_patterns("journal", ".git", "target", "run", "bin"))
+def copy_tree(variant, folder):
+    """Returns a copy of the tree, as a Git repository, with the variant's edit."""
+    copy = os.path.join(folder, re.sub(r"\W", "_", variant))
+    shutil.copytree(ROOT, copy, ignore=shutil.ignore_patterns("journal", ".git", "target", "run", "bin"))
     subprocess.run("git init -q && git add -A && git -c user.name=x -c user.email=x commit -qm x", shell=True, cwd=copy, check=True)
-    if CUTS[name]:
-        path, old, new = CUTS[name]
+    if EDITS[variant]:
+        path, old, new = EDITS[variant]
         text = open(os.path.join(copy, path)).read()
         if text.count(old) != 1:
-            raise SystemExit(f"{name}: {old!r} stands {text.count(old)} times in {path}")
+            raise SystemExit(f"{variant}: expected one match of {old!r} in {path}, found {text.count(old)}")
         open(os.path.join(copy, path), "w").write(text.replace(old, new))
     return copy
 
 
-def play(bench, copy, name, site, day, seed):
-    out = subprocess.run([bench, "run", site, day, "--no-cpu", "--seed", seed, "--jobs", "1", "--why", f"ablation: without {name}"],
+def run_day(bench, copy, variant, site, day, seed):
+    """Runs a day and returns its worth; NaN if the bench printed none."""
+    out = subprocess.run([bench, "run", site, day, "--no-cpu", "--seed", seed, "--jobs", "1", "--why", f"ablation: without {variant}"],
                          cwd=copy, capture_output=True, text=True)
-    m = re.search(r"^worth (\S+) =", out.stdout, re.M)
-    if not m:
-        print("NOT PLAYED", name, site, day, seed, (out.stdout + out.stderr)[-300:])
+    worth = re.search(r"^worth (\S+) =", out.stdout, re.M)
+    if not worth:
+        print("NOT PLAYED", variant, site, day, seed, (out.stdout + out.stderr)[-300:])
     if "BROKEN" in out.stdout:
-        print("BROKEN", name, site, day, seed)
-    return float(m[1]) if m else math.nan
+        print("BROKEN", variant, site, day, seed)
+    return float(worth[1]) if worth else math.nan
 
 
 def main():
-    p = argparse.ArgumentParser()
-    p.add_argument("bench"); p.add_argument("sites", nargs="+")
-    p.add_argument("--seeds", default="1,2,3"); p.add_argument("--only", default=""); p.add_argument("--folder", default=""); p.add_argument("--jobs", type=int, default=4)
-    a = p.parse_args()
-    folder = a.folder or tempfile.mkdtemp()
+    parser = argparse.ArgumentParser()
+    parser.add_argument("bench"); parser.add_argument("sites", nargs="+")
+    parser.add_argument("--seeds", default="1,2,3"); parser.add_argument("--only", default=""); parser.add_argument("--folder", default=""); parser.add_argument("--jobs", type=int, default=4)
+    args = parser.parse_args()
+    folder = args.folder or tempfile.mkdtemp()
     os.makedirs(folder, exist_ok=True)
-    names = ["product"] + [n for n in CUTS if n != "product" and (not a.only or n in a.only.split(","))]
-    base = {}
-    for name in names:
-        copy = prepare(name, folder)
-        subprocess.run([a.bench, "build"], cwd=copy, capture_output=True)
-        row = []
-        for site in a.sites:
+    variants = ["product"] + [v for v in EDITS if v != "product" and (not args.only or v in args.only.split(","))]
+    baseline = {}  # worth of the product, by site
+    for variant in variants:
+        copy = copy_tree(variant, folder)
+        subprocess.run([args.bench, "build"], cwd=copy, capture_output=True)
+        cells = []
+        for site in args.sites:
             days = [d for d in re.findall(r'^name = "([\w-]+)"\nslot = "(?:trouble|scale)"', open(site).read(), re.M)]
-            todo = [(d, s) for d in days for s in a.seeds.split(",")]
-            with concurrent.futures.ThreadPoolExecutor(a.jobs) as ex:
-                worth = list(ex.map(lambda t: play(a.bench, copy, name, site, *t), todo))
-            base.setdefault(site, worth)
-            diff = [w - b for w, b in zip(worth, base[site])]
-            spread = statistics.stdev(diff) / math.sqrt(len(diff)) if name != "product" else 0
-            row.append(f"{statistics.mean(worth):.3f} ({statistics.mean(diff):+.3f} ± {spread:.3f})")
-        print("|", name, "|", " | ".join(row), "|", flush=True)
+            runs = [(d, s) for d in days for s in args.seeds.split(",")]
+            with concurrent.futures.ThreadPoolExecutor(args.jobs) as executor:
+                worth = list(executor.map(lambda run: run_day(args.bench, copy, variant, site, *run), runs))
+            baseline.setdefault(site, worth)
+            differences = [w - b for w, b in zip(worth, baseline[site])]
+            error = statistics.stdev(differences) / math.sqrt(len(differences)) if variant != "product" else 0
+            cells.append(f"{statistics.mean(worth):.3f} ({statistics.mean(differences):+.3f} ± {error:.3f})")
+        print("|", variant, "|", " | ".join(cells), "|", flush=True)
 
 
 main()
--- a/scripts/regress.py
+++ b/scripts/regress.py
@@ -1,48 +1,48 @@
 #!/usr/bin/env python3
-"""Plays the deployments of testdata/sites.yaml: scripts/regress.py BENCH FOLDER
+"""Runs the deployments of testdata/sites.yaml: scripts/regress.py BENCH FOLDER
 
-  --hunt, --score   only these
-  --only TEXT       only sites whose name contains this
+  --hunt, --score   run only hunts, or only scores
+  --only TEXT       run only sites whose name contains TEXT
   --jobs N          cores to use
 
-Site files are looked for in FOLDER and below it. Prints each hunt's last lines and
-each score's table, and exits with 1 if a rule was broken or a gate failed.
+Searches FOLDER and its subfolders for the site files. Prints the last lines of each
+hunt and score, and exits with 1 if a rule was broken or a gate failed.
 """
 import argparse, glob, os, re, subprocess, sys
 
-p = argparse.ArgumentParser()
-p.add_argument("bench")
-p.add_argument("folder")
-p.add_argument("--hunt", action="store_true")
-p.add_argument("--score", action="store_true")
-p.add_argument("--only", default="")
-p.add_argument("--jobs", default="4")
-a = p.parse_args()
-both = not (a.hunt or a.score)
+parser = argparse.ArgumentParser()
+parser.add_argument("bench")
+parser.add_argument("folder")
+parser.add_argument("--hunt", action="store_true")
+parser.add_argument("--score", action="store_true")
+parser.add_argument("--only", default="")
+parser.add_argument("--jobs", default="4")
+args = parser.parse_args()
+run_both = not (args.hunt or args.score)
 here = os.path.dirname(os.path.abspath(__file__))
-entries = re.findall(r"- site: (\S+)\n  hunt: (\d+)\n  score: (\S+)", open(os.path.join(here, "..", "testdata", "sites.yaml")).read())
-bad = 0
+deployments = re.findall(r"- site: (\S+)\n  hunt: (\d+)\n  score: (\S+)", open(os.path.join(here, "..", "testdata", "sites.yaml")).read())
+failures = 0
 
 
-def play(verb, site, *extra):
-    """Plays a verb and returns what it printed."""
-    out = subprocess.run([a.bench, verb, site, "--jobs", a.jobs, "--why", "regression runs", *extra], capture_output=True, text=True).stdout
-    told = [line for line in out.splitlines() if "rule broken" in line or "BROKEN" in line]
-    print(f"== {verb} {os.path.basename(site)}\n" + "\n".join(told + out.splitlines()[-14:]), flush=True)
+def run_bench(verb, site, *extra):
+    """Runs a verb of the bench on a site, prints a summary and returns the output."""
+    out = subprocess.run([args.bench, verb, site, "--jobs", args.jobs, "--why", "regression runs", *extra], capture_output=True, text=True).stdout
+    broken = [line for line in out.splitlines() if "rule broken" in line or "BROKEN" in line]
+    print(f"== {verb} {os.path.basename(site)}\n" + "\n".join(broken + out.splitlines()[-14:]), flush=True)
     return out
 
 
-for name, days, score in entries:
-    if a.only not in name:
+for name, days, score in deployments:
+    if args.only not in name:
         continue
-    site = (glob.glob(os.path.join(a.folder, "**", name + ".toml"), recursive=True) or [None])[0]
+    site = (glob.glob(os.path.join(args.folder, "**", name + ".toml"), recursive=True) or [None])[0]
     if site is None:
-        bad += 1
+        failures += 1
         print(name, "NO SITE FILE")
         continue
-    if both or a.score and score == "yes":
+    if run_both or args.score and score == "yes":
         if score == "yes":
-            bad += "GATE passed" not in play("score", site)
-    if both or a.hunt:
-        bad += ", 0 with a rule broken" not in play("hunt", site, "--days", days)
-sys.exit(bad > 0)
+            failures += "GATE passed" not in run_bench("score", site)
+    if run_both or args.hunt:
+        failures += ", 0 with a rule broken" not in run_bench("hunt", site, "--days", days)
+sys.exit(failures > 0)
--- a/scripts/soakbugs.py
+++ b/scripts/soakbugs.py
@@ -1,13 +1,14 @@
 #!/usr/bin/env python3
-"""Whether the soak finds faults in the programs: scripts/soakbugs.py [SEEDS [NAME...]]
+"""Checks that the soak test detects bugs: scripts/soakbugs.py [SEEDS [NAME...]]
 
-Each fault, or those whose names are given, is written into a copy of the tree,
-built, and played with so many seeds (3), until the promise that it breaks is seen broken. Prints a line for
-each; exits with 1 if one was not found.
+Writes each bug, or each of those named, into a copy of the tree, builds the copy and
+runs its soak test with up to SEEDS seeds (default 3) until the promise that the bug
+breaks is reported as broken. Prints a line for each bug, and exits with 1 if one was
+not detected.
 """
 import concurrent.futures, os, re, shutil, subprocess, sys, tempfile
 
-HERE = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..")
+ROOT = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..")
 # name: promise, and file, text, replacement of each change
 BUGS = {
     "a token comes twice": ("ORDER", "ingress/run.go", "	if _, err := s.w.Write(event.Raw); err != nil {", "	if event.ID == 7 {\n\t\ts.w.Write(event.Raw)\n\t}\n	if _, err := s.w.Write(event.Raw); err != nil {"),
@@ -31,51 +32,53 @@
 }
 
 
-# What is found with a plan, in place of seeds.
+# Bugs that are detected with a plan file instead of seeds.
 PLANS = {"the verdict is forgotten at a restart": "testdata/soak/all-killed-after-verdict.yaml"}
 
 
 def build(name, folder):
+    """Builds a copy of the tree with a bug; returns the program's path."""
     changes = BUGS[name][1:]
     copy = os.path.join(folder, re.sub(r"\W", "_", name))
-    shutil.copytree(HERE, copy, ignore=shutil.ignore_patterns("journal", ".git"))
+    shutil.copytree(ROOT, copy, ignore=shutil.ignore_patterns("journal", ".git"))
     for path, old, new in zip(changes[::3], changes[1::3], changes[2::3]):
         text = open(os.path.join(copy, path)).read()
         if text.count(old) != 1:
-            raise SystemExit(f"{name}: {old!r} stands {text.count(old)} times in {path}")
+            raise SystemExit(f"{name}: expected one match of {old!r} in {path}, found {text.count(old)}")
         open(os.path.join(copy, path), "w").write(text.replace(old, new))
     program = os.path.join(copy, "rw")
     subprocess.run(["go", "build", "-o", program, "./cmd/ragworthitch"], cwd=copy, check=True)
     return program
 
 
-def find(name, folder, seeds):
+def detect(name, folder, seeds):
+    """Runs soak tests with a bug; returns a line on the result, and whether they detected it."""
     program = build(name, folder)
-    rule = BUGS[name][0]
-    seen = set()
-    plays = [(f"seed {seed}", ["-seed", str(seed), "-for", "45s"]) for seed in range(1, seeds + 1)]
+    promise = BUGS[name][0]
+    broken = set()
+    runs = [(f"seed {seed}", ["-seed", str(seed), "-for", "45s"]) for seed in range(1, seeds + 1)]
     if name in PLANS:
-        plays = [(PLANS[name], ["-plan", os.path.join(HERE, PLANS[name])])]
-    for what, args in plays:
+        runs = [(PLANS[name], ["-plan", os.path.join(ROOT, PLANS[name])])]
+    for label, args in runs:
         out = subprocess.run([program, "soak", *args, "-dir", os.path.join(folder, "plays")], capture_output=True, text=True)
-        seen |= set(re.findall(r"^ +[\d.]+ s ([A-Z]+) ", out.stdout, re.M))
-        if rule in seen:
-            return f"{name}: {rule} broken, found with {what}", True
-    return f"{name}: {rule} NOT found with {[what for what, _ in plays]}; found {sorted(seen)}", False
+        broken |= set(re.findall(r"^ +[\d.]+ s ([A-Z]+) ", out.stdout, re.M))
+        if promise in broken:
+            return f"{name}: {promise} broken, found with {label}", True
+    return f"{name}: {promise} NOT found with {[label for label, _ in runs]}; found {sorted(broken)}", False
 
 
 def main():
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 3
     folder = tempfile.mkdtemp()
-    with concurrent.futures.ThreadPoolExecutor(7) as ex:
-        found = list(ex.map(lambda n: find(n, folder, seeds), sys.argv[2:] or BUGS))
-    for line, _ in found:
+    with concurrent.futures.ThreadPoolExecutor(7) as executor:
+        results = list(executor.map(lambda name: detect(name, folder, seeds), sys.argv[2:] or BUGS))
+    for line, _ in results:
         print(line)
-    if all(ok for _, ok in found):
+    if all(detected for _, detected in results):
         shutil.rmtree(folder)
     else:
         print("logs and records:", os.path.join(folder, "plays"))
-    sys.exit(not all(ok for _, ok in found))
+    sys.exit(not all(detected for _, detected in results))
 
 
 if __name__ == "__main__":
--- a/scripts/troubles.py
+++ b/scripts/troubles.py
@@ -1,17 +1,19 @@
 #!/usr/bin/env python3
-"""Plays every kind of trouble on a site: alone and twice, then in random pairs.
+"""Runs days with every kind of fault at a site, or with random combinations.
 
   scripts/troubles.py BENCH SITE [--pairs N] [--seed S] [--only TEXT] [--keep DIR]
 
-BENCH is the users' bench program and SITE a site file. Each day has a calm
-start, its troubles at 4 s and 17 s, and a closing fault on pairs. Prints a
-line for each day with a broken rule, and its file under --keep.
+BENCH is the users' bench program and SITE a site file. Without --pairs, each day
+injects one kind of fault at 4 s and at 17 s. With --pairs N, each of N days injects
+three faults at random times and may end with a closing fault. Prints a line for each
+day that broke a rule, with its file. --keep names the folder of the files.
 """
 import argparse, concurrent.futures, os, random, re, subprocess, tempfile
 
-PLAN = {"config_change", "big_config", "revoke", "release", "scale_in", "scale_out", "roll_term", "add_nodes", "hup", "config_storm"}
+# Kinds that stand in a day's plan; all others are faults.
+PLAN_KINDS = {"config_change", "big_config", "revoke", "release", "scale_in", "scale_out", "roll_term", "add_nodes", "hup", "config_storm"}
 
-# kind, variants of how, other fields
+# kind, values of its field "how", other fields
 KINDS = [
     ("burst", [""], "x = 3.0, for_s = 4.0"),
     ("hot_key", [""], "share = 0.5, for_s = 6.0"),
@@ -56,34 +58,40 @@
             'closing = { kind = "wipe_after_ack", down_s = 1.0 }', 'closing = { kind = "kill_all", down_s = 0.7, how = "timed" }']
 
 
-def entry(kind, how, fields, at):
-    h = f', how = "{how}"' if how else ""
-    f = f", {fields}" if fields else ""
-    return f'  {{ at = {at}, kind = "{kind}"{h}{f} }},'
+def event_line(kind, how, fields, at):
+    how_field = f', how = "{how}"' if how else ""
+    other_fields = f", {fields}" if fields else ""
+    return f'  {{ at = {at}, kind = "{kind}"{how_field}{other_fields} }},'
 
 
-def day(name, seed, entries, closing=""):
-    """entries: (kind, how, fields, at)"""
-    plan = [entry(*e) for e in entries if e[0] in PLAN]
-    faults = [entry(*e) for e in entries if e[0] not in PLAN]
+def day_file(name, seed, events, closing=""):
+    """Returns the text of a day's file; events are tuples of kind, how, fields, at."""
+    plan = [event_line(*e) for e in events if e[0] in PLAN_KINDS]
+    faults = [event_line(*e) for e in events if e[0] not in PLAN_KINDS]
     return "\n".join([f'name = "{name}"', f"seed = {seed}", closing, "plan = [", *plan, "]", "faults = [", *faults, "]", ""])
 
 
+def event_name(kind, how):
+    return f"{kind} {how}".strip().replace(" ", "-")
+
+
 def days(pairs, rng):
-    flat = [(k, h, f) for k, hs, f in KINDS for h in hs]
-    for k, h, f in flat:
-        yield f"{k} {h}".strip().replace(" ", "-"), [(k, h, f, 4.0), (k, h, f, 17.0)], ""
-    for n in range(pairs):
-        a, b, c = rng.choice(flat), rng.choice(flat), rng.choice(flat)
+    """Yields the name, events and closing fault of each day."""
+    variants = [(kind, how, fields) for kind, hows, fields in KINDS for how in hows]
+    for kind, how, fields in variants:
+        yield event_name(kind, how), [(kind, how, fields, 4.0), (kind, how, fields, 17.0)], ""
+    for _ in range(pairs):
+        a, b, c = rng.choice(variants), rng.choice(variants), rng.choice(variants)
         at = round(rng.uniform(2, 24), 1)
-        name = "+".join(f"{x[0]} {x[1]}".strip().replace(" ", "-") for x in (a, b, c))
+        name = "+".join(event_name(kind, how) for kind, how, _ in (a, b, c))
         yield name, [(*a, at), (*b, round(at + rng.uniform(0, 4), 1)), (*c, round(rng.uniform(1, 28), 1))], rng.choice(CLOSINGS)
 
 
-def play(bench, site, folder, name, seed, entries, closing):
+def run_day(bench, site, folder, name, seed, events, closing):
+    """Runs a day; returns its name, file, result line and the bench's output."""
     path = os.path.join(folder, re.sub(r"[^A-Za-z0-9+_-]", "_", name)[:120] + f"-{seed}.toml")
     with open(path, "w") as f:
-        f.write(day(name[:60], seed, entries, closing))
+        f.write(day_file(name[:60], seed, events, closing))
     out = subprocess.run([bench, "run", site, path, "--jobs", "1"], capture_output=True, text=True)
     text = out.stdout + out.stderr
     lines = text.splitlines()
@@ -94,28 +102,29 @@
 
 
 def main():
-    p = argparse.ArgumentParser()
-    p.add_argument("bench"); p.add_argument("site")
-    p.add_argument("--pairs", type=int, default=0); p.add_argument("--seed", type=int, default=1)
-    p.add_argument("--only", default=""); p.add_argument("--keep", default=""); p.add_argument("--jobs", type=int, default=4)
-    p.add_argument("-v", action="store_true")
-    a = p.parse_args()
-    folder = a.keep or tempfile.mkdtemp()
+    parser = argparse.ArgumentParser()
+    parser.add_argument("bench"); parser.add_argument("site")
+    parser.add_argument("--pairs", type=int, default=0); parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--only", default=""); parser.add_argument("--keep", default=""); parser.add_argument("--jobs", type=int, default=4)
+    parser.add_argument("-v", action="store_true")
+    args = parser.parse_args()
+    folder = args.keep or tempfile.mkdtemp()
     os.makedirs(folder, exist_ok=True)
-    rng = random.Random(a.seed)
-    todo = [d for d in days(a.pairs, rng) if a.only in d[0]]
-    if a.pairs:
-        todo = [d for d in todo if "+" in d[0]]
-    bad = 0
-    with concurrent.futures.ThreadPoolExecutor(a.jobs) as ex:
-        futs = [ex.submit(play, a.bench, a.site, folder, n, a.seed + i, e, c) for i, (n, e, c) in enumerate(todo)]
-        for f in futs:
-            name, path, line, text = f.result()
-            wrong = "BROKEN" in line or "FAULT" in line.upper() or "NOT PLAYED" in line
-            bad += wrong
-            if wrong or a.v:
-                print(name, "|", line, "|", path, flush=True)
-    print(f"{len(todo)} days, {bad} wrong")
+    rng = random.Random(args.seed)
+    selected = [d for d in days(args.pairs, rng) if args.only in d[0]]
+    if args.pairs:
+        selected = [d for d in selected if "+" in d[0]]
+    failures = 0
+    with concurrent.futures.ThreadPoolExecutor(args.jobs) as executor:
+        futures = [executor.submit(run_day, args.bench, args.site, folder, name, args.seed + i, events, closing)
+                   for i, (name, events, closing) in enumerate(selected)]
+        for future in futures:
+            name, path, result, _ = future.result()
+            failed = "BROKEN" in result or "FAULT" in result.upper() or "NOT PLAYED" in result
+            failures += failed
+            if failed or args.v:
+                print(name, "|", result, "|", path, flush=True)
+    print(f"{len(selected)} days, {failures} wrong")
 
 
 main()
